--- a/src/main/java/maplerail/front/AcceptThrottle.java
+++ b/src/main/java/maplerail/front/AcceptThrottle.java
@@ -44,7 +44,7 @@
     }
 
     /** Connections that have been taken and not let in yet: their clients may have sent a request. */
-    public int waiting() {
+    public int waitingCount() {
         return waiting.size();
     }
 
--- a/src/main/java/maplerail/front/ConnectionManager.java
+++ b/src/main/java/maplerail/front/ConnectionManager.java
@@ -292,7 +292,7 @@
     }
 
     /** A connection that another process goes on with: it is not ended with the others here. */
-    public void forget(StreamConnection connection) {
+    public void unregister(StreamConnection connection) {
         clients.remove(connection);
     }
 
@@ -331,7 +331,7 @@
     }
 
     /** Connections on which a request is open or on its way, or may follow at once. */
-    public int busy() {
+    public int busyCount() {
         return (int) clients.entrySet().stream()
                 .filter(e -> e.getKey().isOpen() && isBusy(e.getValue()))
                 .count();
@@ -342,7 +342,7 @@
     }
 
     /** Connections in all. */
-    public int connections() {
+    public int openCount() {
         return (int) clients.keySet().stream().filter(StreamConnection::isOpen).count();
     }
 }
--- a/src/main/java/maplerail/front/admin/AdminFront.java
+++ b/src/main/java/maplerail/front/admin/AdminFront.java
@@ -17,9 +17,9 @@
     private static final Map<String, HttpString> CALLS = Map.of(
             "/_ready", Methods.GET, "/_vars", Methods.GET, "/_lameduck/on", Methods.PUT, "/_lameduck/off", Methods.PUT);
 
-    private final Desk desk;
+    private final AdminOperations desk;
 
-    AdminFront(Desk desk) {
+    AdminFront(AdminOperations desk) {
         this.desk = desk;
     }
 
@@ -47,9 +47,9 @@
     private void answer(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
             case "/_ready" -> yes(exchange, desk.canServe());
-            case "/_vars" -> say(exchange, 200, statsd(desk.figures()));
-            case "/_lameduck/on" -> yes(exchange, desk.lameDuck(true));
-            default -> yes(exchange, desk.lameDuck(false));
+            case "/_vars" -> say(exchange, 200, statsd(desk.metricValues()));
+            case "/_lameduck/on" -> yes(exchange, desk.setLameDuck(true));
+            default -> yes(exchange, desk.setLameDuck(false));
         }
     }
 
--- a/src/main/java/maplerail/front/admin/AdminDoor.java
+++ b/src/main/java/maplerail/front/admin/AdminListener.java
@@ -25,13 +25,13 @@
  * started is by more than a second. Guards against callers that hold connections and end no call: each has a little
  * time, and past a few of them the oldest goes, so that a new caller is never kept waiting by others.
  */
-public final class AdminDoor {
+public final class AdminListener {
     /** Connections at once. */
     public static final int MOST = 16;
     /** Descriptors that the door takes in all: its connections, its listener and what its threads wait on. */
-    public static final int DESCRIPTORS = MOST + 8;
+    public static final int MAX_DESCRIPTORS = MOST + 8;
 
-    private static final Logger LOG = LoggerFactory.getLogger(AdminDoor.class);
+    private static final Logger LOG = LoggerFactory.getLogger(AdminListener.class);
     private static final long CALL_MS = 2_000; // from a connection's start to its end
     private static final int BUFFER = 1_024;
     private static final int MOST_HEAD = 4 * 1_024;
@@ -43,7 +43,7 @@
     private final Map<StreamConnection, XnioExecutor.Key> callers = new LinkedHashMap<>();
 
     /** Opens the door at an address. */
-    public AdminDoor(InetSocketAddress at, Desk desk) throws IOException {
+    public AdminListener(InetSocketAddress at, AdminOperations desk) throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_NAME, "admin")
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -63,7 +63,7 @@
     }
 
     /** The platform's classes and tenants are named so from now on. */
-    public void retune(Names names) {
+    public void updateNames(Names names) {
         answers.retune(names);
     }
 
@@ -203,12 +203,12 @@
     }
 
     /** Refuses what is new from now on; what was taken is finished. */
-    public void stopTaking() {
+    public void stopAccepting() {
         taking = false;
     }
 
     /** Sessions over HTTP, and the characters kept for those that come again. */
-    public int[] held() {
+    public int[] sessionUsage() {
         return http.held();
     }
 
@@ -221,7 +221,7 @@
      * Ends the WebSockets on which nothing is asked, for a program that sends its clients away. What has come on one is heard
      * first, so that no request is passed over; one whose client does not answer the goodbye is cut off.
      */
-    public void closeIdleSockets() {
+    public void closeIdleWebSockets() {
         for (Listening listening : List.copyOf(channels.values())) listening.closeIfIdle(loop);
     }
 
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -33,7 +33,7 @@
     }
 
     /** Clients name classes and tenants so from now on. */
-    public void retune(Names names) {
+    public void updateNames(Names names) {
         reader = new RequestReader(names);
     }
 
--- a/src/main/java/maplerail/front/platform/PlatformResponse.java
+++ b/src/main/java/maplerail/front/platform/PlatformResponse.java
@@ -168,7 +168,7 @@
         http.getOriginalSourceConduit().suspendReads();
         boolean closes = !exchange.isPersistent()
                 || "close".equals(exchange.getResponseHeaders().getFirst(Headers.CONNECTION));
-        return Optional.of(new ResumedResponse.Held(http.getChannel(), closes));
+        return Optional.of(new ResumedResponse.DetachedClient(http.getChannel(), closes));
     }
 
     @Override
--- a/src/main/java/maplerail/front/platform/ResumedResponse.java
+++ b/src/main/java/maplerail/front/platform/ResumedResponse.java
@@ -37,7 +37,7 @@
     }
 
     /** Its request goes on under this ticket; from here on it is seen when it leaves. */
-    public void hold(RequestHandle held) {
+    public void attach(RequestHandle held) {
         ticket = held;
         connection.getSinkChannel().setWriteListener(c -> write());
         client.watch(this::look);
@@ -135,9 +135,9 @@
         over = true;
         connection.getSourceChannel().suspendReads();
         connection.getSinkChannel().suspendWrites();
-        return Optional.of(new Held(connection, closes));
+        return Optional.of(new DetachedClient(connection, closes));
     }
 
     /** A client's connection between two events, that nobody reads or writes any more, and whether it ends with its answer. */
-    public record Held(StreamConnection connection, boolean closes) {}
+    public record DetachedClient(StreamConnection connection, boolean closes) {}
 }
--- a/src/main/java/maplerail/server/DescriptorBudget.java
+++ b/src/main/java/maplerail/server/DescriptorBudget.java
@@ -1,6 +1,6 @@
 package maplerail.server;
 
-import maplerail.front.admin.AdminDoor;
+import maplerail.front.admin.AdminListener;
 
 /**
  * How the descriptors that a process may have are divided, so that no side starves another.
@@ -39,7 +39,7 @@
 
     /** Connections to engines: what is left. */
     int engines() {
-        int admin = withAdmin ? AdminDoor.DESCRIPTORS : 0;
+        int admin = withAdmin ? AdminListener.MAX_DESCRIPTORS : 0;
         int tools = withTools ? percent(TOOL_CLIENT_PERCENT + TOOL_SERVER_PERCENT) : 0;
         return total - OWN - DISCOVERY - admin - platformClients() - tools;
     }
--- a/src/main/java/maplerail/server/FrontListener.java
+++ b/src/main/java/maplerail/server/FrontListener.java
@@ -97,7 +97,7 @@
 
     /** True while a client may have sent a request that has no answer yet. */
     boolean isBusy() {
-        return throttle.waiting() > 0 || connections.busy() > 0;
+        return throttle.waitingCount() > 0 || connections.busyCount() > 0;
     }
 
     void closeIdleConnections() {
--- a/src/main/java/maplerail/server/Gateway.java
+++ b/src/main/java/maplerail/server/Gateway.java
@@ -23,8 +23,8 @@
 import maplerail.core.DrainSchedule;
 import maplerail.core.Lifecycle.Phase;
 import maplerail.discovery.PlatformDiscovery;
-import maplerail.front.admin.AdminDoor;
-import maplerail.front.admin.Desk;
+import maplerail.front.admin.AdminListener;
+import maplerail.front.admin.AdminOperations;
 import maplerail.front.platform.PlatformFront;
 import maplerail.metrics.Metrics;
 import maplerail.metrics.Metrics.Figure;
@@ -52,7 +52,7 @@
  * One gateway: wires its parts, starts them, and passes on what changes while it runs. Public methods may be called from any
  * thread, unless they say otherwise.
  */
-public final class Gateway implements Desk {
+public final class Gateway implements AdminOperations {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
     // They keep the draws of discovery and of advice to clients apart from the policy's.
     private static final long DISCOVERY_SEED = 0x5bd1e995a7c3f1d1L;
@@ -87,7 +87,7 @@
     private final DrainController drain;
     private volatile NodeConfig config;
     private volatile FrontListener listener; // null until it listens
-    private volatile AdminDoor admin; // null unless operators have an address
+    private volatile AdminListener admin; // null unless operators have an address
     private Optional<StreamMigration> migration = Optional.empty();
 
     /** Creates a gateway that does not listen yet; {@code toolsConfig} is null where the second front is off. */
@@ -200,7 +200,7 @@
      */
     public void start() throws IOException {
         loop.execute(this::startOnLoop);
-        if (config.admin() != null) admin = new AdminDoor(config.admin(), this);
+        if (config.admin() != null) admin = new AdminListener(config.admin(), this);
         loop.execute(this::awaitEndpointList);
         try {
             opened.join();
@@ -311,8 +311,8 @@
             enginePool.retune(wire.connIdleMs(), wire.connectTimeoutMs());
             discoveryPool.retune(wire.connIdleMs(), wire.connectTimeoutMs());
             applySettings();
-            platform.retune(next.names());
-            tools.ifPresent(front -> front.front().retune(next.names()));
+            platform.updateNames(next.names());
+            tools.ifPresent(front -> front.front().updateNames(next.names()));
             discovery.redirect(next.discovery());
             metrics.reloaded(true);
             LOG.info(
@@ -355,13 +355,13 @@
     }
 
     @Override
-    public List<Figure> figures() {
+    public List<Figure> metricValues() {
         return metrics.figures();
     }
 
     /** The phase counts at once; what it brings about follows on the loop. */
     @Override
-    public synchronized boolean lameDuck(boolean on) {
+    public synchronized boolean setLameDuck(boolean on) {
         boolean already = on == (phase() == Phase.LAME_DUCK);
         if (!lifecycle.setLameDuck(on)) return false;
         if (already) return true;
@@ -388,8 +388,8 @@
 
     private String clientsLeft() {
         if (!lifecycle.isListening()) return "connections=0";
-        String left = "connections=" + listener.connections().connections() + " busy="
-                + listener.connections().busy() + " open_requests=" + openRequests();
+        String left = "connections=" + listener.connections().openCount() + " busy="
+                + listener.connections().busyCount() + " open_requests=" + openRequests();
         return left + tools.map(front -> " " + front.clientsLeft()).orElse("");
     }
 
@@ -457,7 +457,7 @@
         @Override
         public void closeIdleConnections() {
             Gateway.this.closeIdleConnections();
-            tools.ifPresent(front -> front.front().stopTaking());
+            tools.ifPresent(front -> front.front().stopAccepting());
         }
 
         @Override
@@ -517,7 +517,7 @@
 
     /** Sessions over HTTP at the second front, and the characters kept for those that come again. */
     public int[] rpcHeld() {
-        return tools.orElseThrow().front().held();
+        return tools.orElseThrow().front().sessionUsage();
     }
 
     /** The number of requests of which anything is still remembered, at either front. */
--- a/src/main/java/maplerail/server/StreamMigration.java
+++ b/src/main/java/maplerail/server/StreamMigration.java
@@ -134,7 +134,7 @@
             return false;
         }
         ResumedResponse answer = new ResumedResponse(toClient, stream.closes(), clients.adopt(toClient));
-        answer.hold(broker.adoptStream(
+        answer.attach(broker.adoptStream(
                 stream.requestClass(),
                 stream.requestId(),
                 answer,
@@ -188,7 +188,7 @@
             return;
         }
         for (DetachedStream stream : batch) {
-            clients.forget(connection(stream.clientConnection()));
+            clients.unregister(connection(stream.clientConnection()));
             AdoptedSocket.release(connection(stream.clientConnection()));
             AdoptedSocket.release(connection(stream.engineConnection()));
         }
@@ -244,7 +244,7 @@
     }
 
     private static StreamConnection connection(Object detached) {
-        return detached instanceof ResumedResponse.Held client
+        return detached instanceof ResumedResponse.DetachedClient client
                 ? client.connection()
                 : ((Call.Held) detached).connection();
     }
@@ -264,7 +264,7 @@
     }
 
     private static MigratedStream describe(DetachedStream stream) throws IOException {
-        ResumedResponse.Held client = (ResumedResponse.Held) stream.clientConnection();
+        ResumedResponse.DetachedClient client = (ResumedResponse.DetachedClient) stream.clientConnection();
         return new MigratedStream(
                 stream.requestClass(),
                 stream.requestId(),
--- a/src/main/java/maplerail/server/ToolGateway.java
+++ b/src/main/java/maplerail/server/ToolGateway.java
@@ -75,7 +75,7 @@
     /** Ends the connections on which nothing is asked, WebSockets too. */
     void closeIdleConnections() {
         listener.closeIdleConnections();
-        front.closeIdleSockets();
+        front.closeIdleWebSockets();
     }
 
     /** True while a client may have asked for something that it has no answer to yet. */
@@ -85,7 +85,7 @@
 
     /** The clients that are still there, for the log. */
     String clientsLeft() {
-        return "tool_connections=" + listener.connections().connections() + " tool_requests=" + front.openRequests();
+        return "tool_connections=" + listener.connections().openCount() + " tool_requests=" + front.openRequests();
     }
 
     RpcFront front() {
--- a/src/test/java/maplerail/front/ConnectionManagerTest.java
+++ b/src/test/java/maplerail/front/ConnectionManagerTest.java
@@ -99,8 +99,8 @@
                     if (answered == 0) {
                         client.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
                         assertThat(client.getInputStream().read()).isEqualTo('H');
-                        World.await("it rests", () -> connections.busy() == 0);
-                    } else World.await("it is let in", () -> connections.connections() == 1);
+                        World.await("it rests", () -> connections.busyCount() == 0);
+                    } else World.await("it is let in", () -> connections.openCount() == 1);
                     loop.execute(() -> {
                         try {
                             written.await();
@@ -119,7 +119,7 @@
                             .contains("HTTP/1.1 200")
                             .endsWith("answer");
                 }
-                World.await("it is gone", () -> connections.connections() == 0);
+                World.await("it is gone", () -> connections.openCount() == 0);
             }
         } finally {
             loop.execute(loop::close);
--- a/src/test/java/maplerail/front/admin/AdminTest.java
+++ b/src/test/java/maplerail/front/admin/AdminTest.java
@@ -83,10 +83,10 @@
         List<Socket> crowd = new ArrayList<>();
         try (StandIn engine = World.reader();
                 World world = new World().admin().engine("r", "prefill", engine).start()) {
-            for (int i = 0; i < 4 * AdminDoor.MOST; i++) {
+            for (int i = 0; i < 4 * AdminListener.MOST; i++) {
                 crowd.add(dial(world));
                 if (i % 2 == 0) write(crowd.get(i), "GET /_ready HTTP/1.1/nHost:");
-                if (i % AdminDoor.MOST == 0)
+                if (i % AdminListener.MOST == 0)
                     assertThat(world.call("GET /_ready")).startsWith("HTTP/1.1 200");
             }
             assertThat(world.call("GET /_vars")).startsWith("HTTP/1.1 200");
--- a/src/test/java/maplerail/server/DrainBoundaryTest.java
+++ b/src/test/java/maplerail/server/DrainBoundaryTest.java
@@ -158,7 +158,7 @@
 
     private void begin(DrainCall call) {
         if (call == DrainCall.SIGTERM) world.gateway.drain();
-        else world.gateway.lameDuck(true);
+        else world.gateway.setLameDuck(true);
     }
 
     private void beginAndAwait(DrainCall call) {
