--- a/src/main/java/maplerail/algorithms/TokenBucket.java
+++ b/src/main/java/maplerail/algorithms/TokenBucket.java
@@ -23,19 +23,19 @@
     }
 
     /** Takes a token, whether there is a whole one or not. */
-    public void take() {
+    public void consume() {
         tokens -= 1;
     }
 
     /** Takes a token and returns true if there is a whole one; otherwise takes nothing. */
-    public boolean tryTake() {
+    public boolean tryConsume() {
         if (tokens < 1) return false;
         tokens -= 1;
         return true;
     }
 
     /** Takes a token if there is a whole one, otherwise what there is of one; returns whether it was whole. */
-    public boolean takeOrDrain() {
+    public boolean consumeOrDrain() {
         boolean whole = tokens >= 1;
         tokens = Math.max(0, tokens - 1);
         return whole;
--- a/src/main/java/maplerail/core/AdmissionStage.java
+++ b/src/main/java/maplerail/core/AdmissionStage.java
@@ -102,7 +102,7 @@
         if (usage.inFlight >= budget.maxInFlight()) return reject(Reason.BUDGET, RETRY_AFTER_BUSY_MS);
         double callsPerMs = budget.callsPerSecond() / 1_000;
         usage.calls.refill(loop.nowMs(), callsPerMs, Math.max(1, callsPerMs * BUDGET_BURST_MS));
-        if (usage.calls.tryTake()) return Optional.empty();
+        if (usage.calls.tryConsume()) return Optional.empty();
         return Optional.of(new Rejection(Reason.BUDGET, (1 - usage.calls.tokens()) / callsPerMs));
     }
 
--- a/src/main/java/maplerail/core/AttemptDispatcher.java
+++ b/src/main/java/maplerail/core/AttemptDispatcher.java
@@ -251,12 +251,12 @@
 
         @Override
         public void onUnheard(Attempt read) {
-            routing.report(new RoutingEvent.ReadUnheard(read.record.number, read.number));
+            routing.report(new RoutingEvent.ReadOverdue(read.record.number, read.number));
         }
 
         @Override
         public void onPlaceHeld(RequestRecord record, long writer) {
-            routing.report(new RoutingEvent.PlaceHeld(record.number, writer));
+            routing.report(new RoutingEvent.PlaceReserved(record.number, writer));
         }
 
         /** The policy is told what a writer would say. */
--- a/src/main/java/maplerail/core/LineBudget.java
+++ b/src/main/java/maplerail/core/LineBudget.java
@@ -31,7 +31,7 @@
             metrics.count(EventCount.LOG_LINES_SUPPRESSED);
             return false;
         }
-        budget.take();
+        budget.consume();
         if (suppressed > 0) log.accept("log lines suppressed count=" + suppressed);
         suppressed = 0;
         return true;
--- a/src/main/java/maplerail/core/RequestTerms.java
+++ b/src/main/java/maplerail/core/RequestTerms.java
@@ -27,7 +27,7 @@
         return new RequestTerms(
                 settings.limits().maxAttempts(),
                 settings.rules().reservationLimitMs(),
-                settings.limits().placesAhead(),
+                settings.limits().placeReservations(),
                 List.of(classes));
     }
 
--- a/src/main/java/maplerail/fleet/Membership.java
+++ b/src/main/java/maplerail/fleet/Membership.java
@@ -378,7 +378,7 @@
         if (sender == rank) return drop(DropReason.OWN);
         TokenBucket datagrams = members[sender].datagrams;
         datagrams.refill(nowMs, MAX_DATAGRAMS_PER_MS, DATAGRAM_BURST);
-        if (!datagrams.takeOrDrain()) return drop(DropReason.FLOOD);
+        if (!datagrams.consumeOrDrain()) return drop(DropReason.FLOOD);
         recordHeard(sender, message.incarnation(), nowMs);
         return handle(message, nowMs);
     }
--- a/src/main/java/maplerail/routing/RoutingEvent.java
+++ b/src/main/java/maplerail/routing/RoutingEvent.java
@@ -23,10 +23,10 @@
         default void onAttemptEnded(AttemptEnded end) {}
 
         /** Handles a read that has taken long without a word of its reader. */
-        default void onReadUnheard(ReadUnheard read) {}
+        default void onReadOverdue(ReadOverdue read) {}
 
         /** Handles a place that a writer holds for a request. */
-        default void onPlaceHeld(PlaceHeld place) {}
+        default void onPlaceReserved(PlaceReserved place) {}
 
         /** Handles a request whose client no longer waits. */
         default void onRequestAbandoned(RequestAbandoned abandoned) {}
@@ -151,18 +151,18 @@
      * A read has taken longer than reads did lately, and its answer may have been lost. A {@link RoutingAction.ReservePlace}
      * finds out: its answer says whether the read is still in flight.
      */
-    record ReadUnheard(long requestId, int attempt) implements RoutingEvent {
+    record ReadOverdue(long requestId, int attempt) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
-            handler.onReadUnheard(this);
+            handler.onReadOverdue(this);
         }
     }
 
     /** A writer holds a place for a request; the state moves there as soon as it has been read, and then only there. */
-    record PlaceHeld(long requestId, long engine) implements RoutingEvent {
+    record PlaceReserved(long requestId, long engine) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
-            handler.onPlaceHeld(this);
+            handler.onPlaceReserved(this);
         }
     }
 
--- a/src/main/java/maplerail/routing/RoutingSettings.java
+++ b/src/main/java/maplerail/routing/RoutingSettings.java
@@ -9,7 +9,7 @@
  * @param gateways the number of gateways that share the load
  * @param zone the index of the gateway's own zone
  * @param tickMs the resolution of the gateway's timers
- * @param subscribes whether the policy has to ask for the subscription to endpoint updates
+ * @param mustSubscribe whether the policy has to ask for the subscription to endpoint updates
  * @param overQuotaWeight the factor on the priority of requests over their tenant's quota; 1 switches quotas off
  * @param classes the classes of requests
  * @param tenants the tenants
@@ -22,7 +22,7 @@
         int gateways,
         int zone,
         double tickMs,
-        boolean subscribes,
+        boolean mustSubscribe,
         double overQuotaWeight,
         List<RequestClass> classes,
         List<Tenant> tenants,
@@ -33,7 +33,17 @@
     /** The same settings where {@code count} gateways share the load. */
     public RoutingSettings withGateways(int count) {
         return new RoutingSettings(
-                seed, count, zone, tickMs, subscribes, overQuotaWeight, classes, tenants, engineKinds, limits, rules);
+                seed,
+                count,
+                zone,
+                tickMs,
+                mustSubscribe,
+                overQuotaWeight,
+                classes,
+                tenants,
+                engineKinds,
+                limits,
+                rules);
     }
 
     /**
@@ -75,7 +85,7 @@
      * @param retryAfter whether rejected clients can be told when to retry
      * @param maxRetryAfterMs the longest wait that they may be told
      * @param writersRead whether writers can read prompts too
-     * @param placesAhead whether a writer can be asked to hold a place for a request that is still being read
+     * @param placeReservations whether a writer can be asked to hold a place for a request that is still being read
      */
     public record Limits(
             int maxAttempts,
@@ -84,7 +94,7 @@
             boolean retryAfter,
             double maxRetryAfterMs,
             boolean writersRead,
-            boolean placesAhead) {
+            boolean placeReservations) {
 
         /** Limits of a deployment whose writers hold no places ahead. */
         public Limits(
--- a/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
+++ b/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
@@ -227,7 +227,7 @@
         @Override
         public void onEndpointUpdate(RoutingEvent.EndpointUpdate update) {
             boolean restarted = update.kind() == EndpointUpdateKind.REMEMBERED;
-            if (settings.subscribes() && restarted) actions.add(new RoutingAction.SubscribeEndpoints());
+            if (settings.mustSubscribe() && restarted) actions.add(new RoutingAction.SubscribeEndpoints());
             if (update.kind() == EndpointUpdateKind.FAILED) {
                 if (!subscribePending) setTimer(0, 0, Purpose.SUBSCRIBE, nowMs + SUBSCRIBE_RETRY_MS);
                 subscribePending = true;
@@ -261,9 +261,9 @@
 
         /** Any writer can tell whether a read is in flight; asked is the one that would be written to. */
         @Override
-        public void onReadUnheard(RoutingEvent.ReadUnheard read) {
+        public void onReadOverdue(RoutingEvent.ReadOverdue read) {
             AttemptState attempt = inFlight(read.requestId(), read.attempt());
-            if (attempt == null || !attempt.request.limits.placesAhead()) return;
+            if (attempt == null || !attempt.request.limits.placeReservations()) return;
             RequestState request = attempt.request;
             EngineState writer = request.placeHolder != null && request.placeHolder.isReady()
                     ? request.placeHolder : selectWriter(request, null, attempt.engine);
@@ -271,7 +271,7 @@
         }
 
         @Override
-        public void onPlaceHeld(RoutingEvent.PlaceHeld place) {
+        public void onPlaceReserved(RoutingEvent.PlaceReserved place) {
             RequestState request = requests.get(place.requestId());
             if (request != null) request.placeHolder = engines.get(place.engine());
         }
@@ -800,7 +800,7 @@
             return false;
         }
         engine.sendRate.add(1, nowMs);
-        if (isWarmingUp(engine)) engine.slowStart.take();
+        if (isWarmingUp(engine)) engine.slowStart.consume();
         if (!attempt.isRead) attempt.cost = 1;
         request.attempts.add(attempt);
         request.inFlight++;
@@ -999,7 +999,7 @@
         double burst = Math.max(1, QUOTA_BURST_MS * perMs);
         TokenBucket quota = quotas.computeIfAbsent(tenant, t -> new TokenBucket(burst, nowMs));
         quota.refill(nowMs, perMs, burst);
-        return !quota.takeOrDrain();
+        return !quota.consumeOrDrain();
     }
 
     /** What an engine makes us wait: its recent times, or the age of what still waits there. */
--- a/src/main/java/maplerail/server/Gateway.java
+++ b/src/main/java/maplerail/server/Gateway.java
@@ -126,7 +126,7 @@
                 loop,
                 config.discovery(),
                 config.names(),
-                !settings.subscribes(),
+                !settings.mustSubscribe(),
                 new SplittableRandom(settings.seed() ^ DISCOVERY_SEED),
                 this::onEndpointList,
                 metrics::listRejected);
@@ -230,7 +230,7 @@
      * while no process of this gateway ran. If discovery is silent, that list has to do.
      */
     private void awaitEndpointList() {
-        if (config.settings().subscribes() || config.known() == null) {
+        if (config.settings().mustSubscribe() || config.known() == null) {
             listen();
             return;
         }
--- a/src/test/java/maplerail/algorithms/TokenBucketTest.java
+++ b/src/test/java/maplerail/algorithms/TokenBucketTest.java
@@ -17,23 +17,23 @@
     @Test
     void aTokenThatIsNotWholeIsLeftByATry() {
         TokenBucket bucket = new TokenBucket(1.5, 0);
-        assertThat(bucket.tryTake()).isTrue();
-        assertThat(bucket.tryTake()).isFalse();
+        assertThat(bucket.tryConsume()).isTrue();
+        assertThat(bucket.tryConsume()).isFalse();
         assertThat(bucket.tokens()).isEqualTo(0.5);
     }
 
     @Test
     void aTokenThatIsNotWholeIsDrained() {
         TokenBucket bucket = new TokenBucket(1.5, 0);
-        assertThat(bucket.takeOrDrain()).isTrue();
-        assertThat(bucket.takeOrDrain()).isFalse();
+        assertThat(bucket.consumeOrDrain()).isTrue();
+        assertThat(bucket.consumeOrDrain()).isFalse();
         assertThat(bucket.tokens()).isZero();
     }
 
     @Test
     void aTokenCanBeTakenOnCredit() {
         TokenBucket bucket = new TokenBucket(0.5, 0);
-        bucket.take();
+        bucket.consume();
         assertThat(bucket.tokens()).isEqualTo(-0.5);
     }
 }
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -818,7 +818,7 @@
         take("a", send(READER));
         next.add(new RoutingAction.ReservePlace(1, WRITER));
         loop.until(loop.now + 860);
-        assertThat(told).contains(new RoutingEvent.ReadUnheard(1, 0));
+        assertThat(told).contains(new RoutingEvent.ReadOverdue(1, 0));
         assertThat(placeAnswers).hasSize(1);
     }
 
@@ -835,9 +835,9 @@
         loop.until(loop.now + 350);
         out.get(1).answer.onEnded(AttemptOutcome.PROMPT_READ, 0);
         loop.until(loop.now + 295);
-        assertThat(told).doesNotContain(new RoutingEvent.ReadUnheard(3, 0));
+        assertThat(told).doesNotContain(new RoutingEvent.ReadOverdue(3, 0));
         loop.until(loop.now + 10);
-        assertThat(told).contains(new RoutingEvent.ReadUnheard(3, 0));
+        assertThat(told).contains(new RoutingEvent.ReadOverdue(3, 0));
     }
 
     /** Guards against a call for each read of a reader that is slow. */
@@ -852,7 +852,7 @@
         assertThat(placeAnswers).hasSize(1);
         placeAnswers.get(0).accept(PlaceAnswer.NOT_HELD);
         loop.until(loop.now + 290);
-        assertThat(told).doesNotContain(new RoutingEvent.ReadUnheard(2, 0));
+        assertThat(told).doesNotContain(new RoutingEvent.ReadOverdue(2, 0));
         assertThat(out.get(1).aborted).isFalse();
     }
 
@@ -871,7 +871,7 @@
     void aReadThatAWriterKnowsToBeInFlightIsWaitedForAndAskedAboutAgain() {
         takeUnheardRead();
         placeAnswers.get(0).accept(PlaceAnswer.HELD);
-        assertThat(told).contains(new RoutingEvent.PlaceHeld(1, WRITER));
+        assertThat(told).contains(new RoutingEvent.PlaceReserved(1, WRITER));
         next.add(new RoutingAction.ReservePlace(1, WRITER));
         loop.until(loop.now + 310);
         assertThat(placeAnswers).hasSize(2);
--- a/src/test/java/maplerail/routing/d2lpm/PlacesAheadTest.java
+++ b/src/test/java/maplerail/routing/d2lpm/PlacesAheadTest.java
@@ -26,9 +26,9 @@
         PolicyHarness gateway = gateway(true);
         for (long id = 1; id <= REQUESTS; id++) {
             gateway.arrive(id);
-            gateway.on(new RoutingEvent.ReadUnheard(id, 0));
+            gateway.on(new RoutingEvent.ReadOverdue(id, 0));
             assertThat(gateway.lastActions).singleElement().isInstanceOf(ReservePlace.class);
-            gateway.on(new RoutingEvent.PlaceHeld(id, HOLDER));
+            gateway.on(new RoutingEvent.PlaceReserved(id, HOLDER));
             gateway.end(id, 0, AttemptOutcome.PROMPT_READ);
             assertThat(gateway.sent().engine()).isEqualTo(HOLDER);
             gateway.first(id, 1);
@@ -41,7 +41,7 @@
     void nobodyIsAskedWhereTheSettingsDoNotPermitIt() {
         PolicyHarness gateway = gateway(false);
         gateway.arrive(1);
-        gateway.on(new RoutingEvent.ReadUnheard(1, 0));
+        gateway.on(new RoutingEvent.ReadOverdue(1, 0));
         assertThat(gateway.lastActions).isEmpty();
     }
 
@@ -51,7 +51,7 @@
         PolicyHarness gateway = gateway(true);
         gateway.arrive(1);
         gateway.end(1, 0, AttemptOutcome.PROMPT_READ);
-        gateway.on(new RoutingEvent.ReadUnheard(1, 0));
+        gateway.on(new RoutingEvent.ReadOverdue(1, 0));
         assertThat(gateway.lastActions).isEmpty();
     }
 }
