--- a/src/main/java/maplerail/fleet/EndpointView.java
+++ b/src/main/java/maplerail/fleet/EndpointView.java
@@ -62,7 +62,7 @@
     }
 
     /** The engines that discovery lists, with the index of their kind. */
-    public Map<Long, Integer> kinds() {
+    public Map<Long, Integer> kindsByEngine() {
         Map<Long, Integer> kinds = new TreeMap<>();
         listed.forEach((engine, endpoint) -> kinds.put(engine, endpoint.kind()));
         return kinds;
--- a/src/main/java/maplerail/fleet/Membership.java
+++ b/src/main/java/maplerail/fleet/Membership.java
@@ -38,7 +38,7 @@
     }
 
     /** A datagram to send to one gateway of the tier. */
-    public record Outgoing(int recipient, byte[] bytes) {}
+    public record OutgoingDatagram(int recipient, byte[] bytes) {}
 
     /** How often this gateway declared another dead, refuted what was said of itself, and began a suspicion. */
     public record Totals(long deaths, long refutations, long suspicions) {}
@@ -96,7 +96,7 @@
 
     private int periods;
     private double periodStartMs;
-    private double dueMs;
+    private double nextTickMs;
     private int probeTarget = NOBODY;
     private int probeSequence;
     private boolean probeAcked;
@@ -126,13 +126,13 @@
         Arrays.setAll(members, Member::new);
         news = new MembershipNews(tierSize);
         news.add(rank); // for those that believe the process before this one to be dead
-        dueMs = startedMs + PERIOD_MS * random.nextDouble();
-        periodStartMs = dueMs;
+        nextTickMs = startedMs + PERIOD_MS * random.nextDouble();
+        periodStartMs = nextTickMs;
     }
 
     /** When {@link #tick} is due next. */
-    public double dueMs() {
-        return dueMs;
+    public double nextTickMs() {
+        return nextTickMs;
     }
 
     /** What is believed of a gateway; this one is always alive. */
@@ -146,7 +146,7 @@
     }
 
     /** The number of gateways that are alive, this one included; a suspect is not. */
-    public int alive() {
+    public int aliveCount() {
         return count(State.ALIVE);
     }
 
@@ -154,8 +154,8 @@
      * The number of gateways that share the load, as limits are to be divided by: those alive, but half of the tier at least.
      * Otherwise each part of a tier that is partitioned would take the whole for itself.
      */
-    public int sharing() {
-        return Math.max(alive(), (members.length + 1) / 2);
+    public int loadSharingGateways() {
+        return Math.max(aliveCount(), (members.length + 1) / 2);
     }
 
     /** What has happened so far. */
@@ -179,9 +179,9 @@
 
     // ---- Failure detector ----
 
-    /** Does what is due at a time that is not before {@link #dueMs}; returns the datagrams to send. */
-    public List<Outgoing> tick(double nowMs) {
-        if (nowMs > dueMs + STALL_PERIODS * periodMs()) recoverFromStall(nowMs);
+    /** Does what is due at a time that is not before {@link #nextTickMs}; returns the datagrams to send. */
+    public List<OutgoingDatagram> tick(double nowMs) {
+        if (nowMs > nextTickMs + STALL_PERIODS * periodMs()) recoverFromStall(nowMs);
         if (!indirectProbesSent && probeTarget != NOBODY) return probeIndirectly();
         if (probeTarget != NOBODY) judgeProbe(nowMs);
         expireSuspicions(nowMs);
@@ -194,7 +194,7 @@
 
     /** What was not heard while this process was stopped says nothing of the others. */
     private void recoverFromStall(double nowMs) {
-        double lostMs = nowMs - dueMs;
+        double lostMs = nowMs - nextTickMs;
         in(State.SUSPECT).forEach(member -> member.suspectedMs += lostMs);
         probeTarget = NOBODY;
         worsenLocalHealth();
@@ -204,15 +204,15 @@
         localHealth = Math.min(MAX_LOCAL_HEALTH, localHealth + 1);
     }
 
-    private List<Outgoing> probeIndirectly() {
-        List<Outgoing> outgoing = new ArrayList<>();
+    private List<OutgoingDatagram> probeIndirectly() {
+        List<OutgoingDatagram> outgoing = new ArrayList<>();
         indirectProbesSent = true;
         if (!isProbeAnswered()) {
             for (int helper : pickAlive(INDIRECT_PROBES, probeTarget)) {
                 outgoing.add(message(helper, Kind.PING_REQ, probeSequence, probeTarget));
             }
         }
-        dueMs = periodStartMs + periodMs();
+        nextTickMs = periodStartMs + periodMs();
         return outgoing;
     }
 
@@ -243,8 +243,8 @@
         }
     }
 
-    private List<Outgoing> beginPeriod(double nowMs) {
-        List<Outgoing> outgoing = new ArrayList<>();
+    private List<OutgoingDatagram> beginPeriod(double nowMs) {
+        List<OutgoingDatagram> outgoing = new ArrayList<>();
         periodStartMs = nowMs;
         indirectProbesSent = false;
         probeAcked = false;
@@ -258,11 +258,11 @@
                 .forEach(member -> outgoing.add(ping(member.rank)));
         periods++;
         if (periods % DEAD_PROBE_PERIODS == 0) probeDead(outgoing);
-        dueMs = nowMs + (probeTarget == NOBODY ? periodMs() : DIRECT_ACK_SHARE * periodMs());
+        nextTickMs = nowMs + (probeTarget == NOBODY ? periodMs() : DIRECT_ACK_SHARE * periodMs());
         return outgoing;
     }
 
-    private void probeDead(List<Outgoing> outgoing) {
+    private void probeDead(List<OutgoingDatagram> outgoing) {
         List<Member> dead = in(State.DEAD).toList();
         if (dead.isEmpty()) return;
         int recipient = dead.get(random.nextInt(dead.size())).rank;
@@ -312,11 +312,11 @@
         if (isNews) news.add(member.rank);
     }
 
-    private Outgoing ping(int recipient) {
+    private OutgoingDatagram ping(int recipient) {
         return message(recipient, Kind.PING, nextSequence(), recipient);
     }
 
-    private Outgoing message(int recipient, Kind kind, int number, int subject) {
+    private OutgoingDatagram message(int recipient, Kind kind, int number, int subject) {
         // What a probe carries counts as sent once it is answered, as its target may be dead.
         boolean isProbe = kind == Kind.PING && number == probeSequence && subject == probeTarget;
         List<Update> updates = updatesFor(recipient);
@@ -330,7 +330,7 @@
         int encodedSubject = subject & 0xffff;
         byte[] bytes = new MembershipMessage(rank, incarnation, kind, number, encodedSubject, updates).encode();
         sent = sent.plus(bytes);
-        return new Outgoing(recipient, bytes);
+        return new OutgoingDatagram(recipient, bytes);
     }
 
     /** First of all what is believed of the recipient, where that is not good; then the news that were sent least often. */
@@ -352,7 +352,7 @@
     // ---- Datagrams that arrive ----
 
     /** Notes that a datagram of another kind came from a gateway: it runs, under that incarnation. */
-    public void recordHeard(int sender, long senderIncarnation, double nowMs) {
+    public void recordDatagramFrom(int sender, long senderIncarnation, double nowMs) {
         if (sender < 0 || sender >= members.length || sender == rank) return;
         Member member = members[sender];
         member.lastHeardMs = nowMs;
@@ -366,7 +366,7 @@
      * @param sender the rank of the gateway from whose address it came; -1 for an address that is of none
      * @return the datagrams to send in answer
      */
-    public List<Outgoing> receive(int sender, byte[] bytes, int length, double nowMs) {
+    public List<OutgoingDatagram> receive(int sender, byte[] bytes, int length, double nowMs) {
         if (sender < 0 || sender >= members.length) return drop(DropReason.UNKNOWN_SENDER);
         MembershipMessage message;
         try {
@@ -379,17 +379,17 @@
         TokenBucket datagrams = members[sender].datagrams;
         datagrams.refill(nowMs, MAX_DATAGRAMS_PER_MS, DATAGRAM_BURST);
         if (!datagrams.consumeOrDrain()) return drop(DropReason.FLOOD);
-        recordHeard(sender, message.incarnation(), nowMs);
+        recordDatagramFrom(sender, message.incarnation(), nowMs);
         return handle(message, nowMs);
     }
 
-    private List<Outgoing> drop(DropReason reason) {
+    private List<OutgoingDatagram> drop(DropReason reason) {
         dropped.add(reason);
         return List.of();
     }
 
-    private List<Outgoing> handle(MembershipMessage message, double nowMs) {
-        List<Outgoing> outgoing = new ArrayList<>();
+    private List<OutgoingDatagram> handle(MembershipMessage message, double nowMs) {
+        List<OutgoingDatagram> outgoing = new ArrayList<>();
         long refutationsBefore = refutations;
         for (Update update : message.updates()) learn(update, nowMs);
         if (refutations > refutationsBefore) {
@@ -403,7 +403,7 @@
         return outgoing;
     }
 
-    private void relayPing(MembershipMessage message, List<Outgoing> outgoing) {
+    private void relayPing(MembershipMessage message, List<OutgoingDatagram> outgoing) {
         int subject = message.subject();
         if (subject >= members.length || subject == rank) return;
         int number = nextSequence();
@@ -418,7 +418,7 @@
         eldest.remove();
     }
 
-    private void handleAck(MembershipMessage message, List<Outgoing> outgoing) {
+    private void handleAck(MembershipMessage message, List<OutgoingDatagram> outgoing) {
         boolean direct = message.subject() == message.rank();
         Relay relay = direct ? relaysBySequence.get(message.sequence()) : null;
         if (relay != null && relay.subject() == message.rank()) {
--- a/src/main/java/maplerail/fleet/OutlierConsensus.java
+++ b/src/main/java/maplerail/fleet/OutlierConsensus.java
@@ -161,7 +161,7 @@
      *
      * @param alive whether a gateway of the tier is alive, by its rank
      */
-    public Set<Long> decide(double nowMs, IntPredicate alive) {
+    public Set<Long> updateEjections(double nowMs, IntPredicate alive) {
         int live = countAlive(alive);
         ejectedUntilMs.values().removeIf(untilMs -> nowMs >= untilMs);
         Map<Long, Integer> failures = new HashMap<>();
--- a/src/main/java/maplerail/fleet/ReaderPaceGossip.java
+++ b/src/main/java/maplerail/fleet/ReaderPaceGossip.java
@@ -148,7 +148,7 @@
     }
 
     /** The incarnation under which a gateway was last heard; -1 for one that was not. */
-    public long incarnation(int ofRank) {
+    public long incarnationOf(int ofRank) {
         return sequences.incarnation(ofRank);
     }
 
--- a/src/main/java/maplerail/lab/Emulator.java
+++ b/src/main/java/maplerail/lab/Emulator.java
@@ -132,7 +132,7 @@
 
     /** The gateways that a gateway holds to be there. */
     public int alive(int g) {
-        return gates[g].membership == null ? gates.length : gates[g].membership.alive();
+        return gates[g].membership == null ? gates.length : gates[g].membership.aliveCount();
     }
 
     private void at(double when, Runnable task) {
@@ -341,10 +341,10 @@
             membership = peers ? new Membership(rank, gates.length, now + 1, random.nextLong()) : null;
             exchange =
                     peers && gates.length <= MOST_EXCHANGE ? new ReaderPaceGossip(rank, gates.length, now + 1) : null;
-            if (membership != null) at(membership.dueMs(), this::probe);
+            if (membership != null) at(membership.nextTickMs(), this::probe);
             outliers = peers && outliersOn ? new OutlierConsensus(rank, gates.length, now + 1) : null;
             if (outliers != null) {
-                outliers.setEngines(view.kinds());
+                outliers.setEngines(view.kindsByEngine());
                 at(now + OutlierConsensus.PERIOD_MS * random.nextDouble(), this::compare);
             }
             if (exchange == null) return;
@@ -505,7 +505,7 @@
         private void probe() {
             if (!up) return;
             gossip(membership.tick(now));
-            at(membership.dueMs(), this::probe);
+            at(membership.nextTickMs(), this::probe);
             shift();
         }
 
@@ -519,7 +519,7 @@
                     });
                 }
             });
-            view.setEjected(outliers.decide(now, g -> membership.state(g) == Membership.State.ALIVE))
+            view.setEjected(outliers.updateEjections(now, g -> membership.state(g) == Membership.State.ALIVE))
                     .ifPresent(this::tell);
             at(now + OutlierConsensus.PERIOD_MS, this::compare);
         }
@@ -532,8 +532,8 @@
             at(now + exchange.delayMs(random.nextDouble()), this::say);
         }
 
-        private void gossip(List<Membership.Outgoing> out) {
-            for (Membership.Outgoing one : out) {
+        private void gossip(List<Membership.OutgoingDatagram> out) {
+            for (Membership.OutgoingDatagram one : out) {
                 ledger.count("gossip");
                 int to = one.recipient();
                 way(gates[to], () -> gates[to].gossiped(rank, one.bytes()));
@@ -554,11 +554,11 @@
         void heard(Gate from, byte[] bytes) {
             if (!up) return;
             for (RoutingEvent.PeerRead seen : exchange.receive(from.rank, bytes, bytes.length)) tell(seen);
-            membership.recordHeard(from.rank, exchange.incarnation(from.rank), now);
+            membership.recordDatagramFrom(from.rank, exchange.incarnationOf(from.rank), now);
         }
 
         private void shift() {
-            int alive = membership.sharing();
+            int alive = membership.loadSharingGateways();
             if (alive == live) return;
             live = alive;
             tell(new RoutingEvent.SettingsChanged(settings.withGateways(live)));
--- a/src/main/java/maplerail/migration/HandoverFile.java
+++ b/src/main/java/maplerail/migration/HandoverFile.java
@@ -29,7 +29,7 @@
     }
 
     /** Leaves a text for the next process; a failure is logged, as the text is only missed. */
-    public void leave(String text) {
+    public void write(String text) {
         try {
             Files.writeString(temporary, text);
             Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -39,7 +39,7 @@
     }
 
     /** Takes the text that another process left, if there is one; of a file that is too large, an empty text. */
-    public Optional<String> take() {
+    public Optional<String> readAndDelete() {
         try {
             if (!Files.isRegularFile(file)) return Optional.empty();
             byte[] bytes = Files.size(file) <= MAX_BYTES ? Files.readAllBytes(file) : new byte[0];
--- a/src/main/java/maplerail/migration/HandoverSnapshot.java
+++ b/src/main/java/maplerail/migration/HandoverSnapshot.java
@@ -16,9 +16,9 @@
  * What a process that stops knows, as a JSON text for the one that serves on.
  *
  * @param writtenMs when it was written
- * @param cached the prefixes that are assumed to be cached at engines
+ * @param cachedPrefixes the prefixes that are assumed to be cached at engines
  */
-public record HandoverSnapshot(double writtenMs, List<PrefixCached> cached) {
+public record HandoverSnapshot(double writtenMs, List<PrefixCached> cachedPrefixes) {
     private static final int FORM = 1;
     private static final int MAX_ENTRIES = 20_000;
     private static final double MAX_AGE_MS = 5_000; // caches change in seconds: old knowledge sends requests astray
@@ -28,14 +28,15 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** The text; of too many entries the last ones. */
-    public String text() {
+    public String toJson() {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
             json.writeNumberField("form", FORM);
             json.writeNumberField("written_ms", writtenMs);
             json.writeArrayFieldStart("held");
-            for (PrefixCached entry : cached.subList(Math.max(0, cached.size() - MAX_ENTRIES), cached.size())) {
+            for (PrefixCached entry :
+                    cachedPrefixes.subList(Math.max(0, cachedPrefixes.size() - MAX_ENTRIES), cachedPrefixes.size())) {
                 write(json, entry);
             }
             json.writeEndArray();
@@ -57,7 +58,7 @@
     }
 
     /** Reads a text; empty for one that is of another form, broken or too old. */
-    public static Optional<HandoverSnapshot> read(String text, double nowMs) {
+    public static Optional<HandoverSnapshot> parse(String text, double nowMs) {
         try {
             Tree root = Tree.object("notes", text);
             double writtenMs = root.need("written_ms").number();
--- a/src/main/java/maplerail/migration/MigratedStream.java
+++ b/src/main/java/maplerail/migration/MigratedStream.java
@@ -18,12 +18,16 @@
  *
  * @param requestClass the name of the request's class
  * @param requestId the client's id of the request
- * @param closes whether the client was told that its connection ends with the answer
+ * @param closeAfterResponse whether the client was told that its connection ends with the answer
  * @param client the far end of the client's socket (IPv4)
  * @param engine the far end of the engine's socket (IPv4)
  */
 public record MigratedStream(
-        String requestClass, String requestId, boolean closes, InetSocketAddress client, InetSocketAddress engine) {
+        String requestClass,
+        String requestId,
+        boolean closeAfterResponse,
+        InetSocketAddress client,
+        InetSocketAddress engine) {
     static final int MAX_BYTES = 2_048;
 
     private static final int FORM = 1;
@@ -34,7 +38,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         DataOutputStream data = new DataOutputStream(out);
         data.writeByte(FORM);
-        data.writeByte(closes ? 1 : 0);
+        data.writeByte(closeAfterResponse ? 1 : 0);
         write(data, client);
         write(data, engine);
         data.writeUTF(requestClass);
--- a/src/main/java/maplerail/server/HandoverService.java
+++ b/src/main/java/maplerail/server/HandoverService.java
@@ -42,7 +42,7 @@
     /** Leaves what this process knows; called on the loop. */
     void leave() {
         HandoverSnapshot snapshot = new HandoverSnapshot(loop.nowMs(), broker.cachedPrefixes());
-        worker.execute(() -> file.leave(snapshot.text()));
+        worker.execute(() -> file.write(snapshot.toJson()));
     }
 
     /** Polls for a while for what a process that stops leaves: it does so once this one can serve. Called on the loop. */
@@ -54,9 +54,9 @@
         worker.execute(() -> {
             if (stopping.getAsBoolean()) return;
             Optional<HandoverSnapshot> snapshot =
-                    file.take().flatMap(text -> HandoverSnapshot.read(text, loop.nowMs()));
+                    file.readAndDelete().flatMap(text -> HandoverSnapshot.parse(text, loop.nowMs()));
             if (snapshot.isPresent()) {
-                List<PrefixCached> cached = snapshot.get().cached();
+                List<PrefixCached> cached = snapshot.get().cachedPrefixes();
                 LOG.info("cached prefixes taken over count={}", cached.size());
                 loop.execute(() -> broker.restoreCachedPrefixes(cached));
             } else if (loop.nowMs() < untilMs) {
--- a/src/main/java/maplerail/server/StreamMigration.java
+++ b/src/main/java/maplerail/server/StreamMigration.java
@@ -133,7 +133,7 @@
             LOG.warn("stream not adopted request={} error={}", stream.requestId(), e.toString());
             return false;
         }
-        ResumedResponse answer = new ResumedResponse(toClient, stream.closes(), clients.adopt(toClient));
+        ResumedResponse answer = new ResumedResponse(toClient, stream.closeAfterResponse(), clients.adopt(toClient));
         answer.attach(broker.adoptStream(
                 stream.requestClass(),
                 stream.requestId(),
--- a/src/main/java/maplerail/server/TierDecisions.java
+++ b/src/main/java/maplerail/server/TierDecisions.java
@@ -40,7 +40,7 @@
     }
 
     double probeDueMs() {
-        return membership.dueMs();
+        return membership.nextTickMs();
     }
 
     void setEngines(Map<Long, Integer> kindsByEngine) {
@@ -48,7 +48,7 @@
     }
 
     Set<Long> decideEjected(double nowMs) {
-        return outliers.decide(nowMs, rank -> membership.state(rank) == Membership.State.ALIVE);
+        return outliers.updateEjections(nowMs, rank -> membership.state(rank) == Membership.State.ALIVE);
     }
 
     /** The number of gateways that share the load, as the policy was told. */
@@ -61,7 +61,7 @@
      * slow start by it: after many have died, those that are left carry their clients.
      */
     boolean updateSharing(double nowMs) {
-        int current = membership.sharing();
+        int current = membership.loadSharingGateways();
         if (current == sharing || nowMs < sharingChangedMs + MIN_SHARING_INTERVAL_MS) return false;
         sharingChangedMs = nowMs;
         sharing = current;
@@ -71,7 +71,7 @@
 
     void publishMembership(Metrics metrics) {
         metrics.members(
-                membership.alive(),
+                membership.aliveCount(),
                 membership.count(Membership.State.SUSPECT),
                 membership.count(Membership.State.DEAD),
                 membership.totals().deaths(),
--- a/src/main/java/maplerail/server/TierPeerService.java
+++ b/src/main/java/maplerail/server/TierPeerService.java
@@ -89,7 +89,7 @@
 
     @Override
     public void onEndpointsChanged() {
-        decisions.ifPresent(tier -> tier.setEngines(view.kinds()));
+        decisions.ifPresent(tier -> tier.setEngines(view.kindsByEngine()));
         paceGossip.setReaders(broker.readers());
     }
 
@@ -133,7 +133,7 @@
         TierDecisions tier = new TierDecisions(peers, loop.nowMs(), seed);
         decisions = Optional.of(tier);
         loop.at(tier.probeDueMs(), () -> probe(tier));
-        tier.setEngines(view.kinds());
+        tier.setEngines(view.kindsByEngine());
         loop.at(loop.nowMs() + OutlierConsensus.PERIOD_MS * random.nextDouble(), () -> compare(tier));
     }
 
@@ -155,11 +155,11 @@
         broker.reportPeerReads(paceGossip.receive(sender, bytes, length));
         if (paceGossip.received() == before) return;
         decisions.ifPresent(
-                tier -> tier.membership().recordHeard(sender, paceGossip.incarnation(sender), loop.nowMs()));
+                tier -> tier.membership().recordDatagramFrom(sender, paceGossip.incarnationOf(sender), loop.nowMs()));
     }
 
-    private void send(Collection<Membership.Outgoing> datagrams) {
-        for (Membership.Outgoing datagram : datagrams) {
+    private void send(Collection<Membership.OutgoingDatagram> datagrams) {
+        for (Membership.OutgoingDatagram datagram : datagrams) {
             InetSocketAddress recipient = peers.members().get(datagram.recipient());
             link.ifPresent(open -> open.send(recipient, datagram.bytes()));
         }
--- a/src/test/java/maplerail/fleet/MembershipTest.java
+++ b/src/test/java/maplerail/fleet/MembershipTest.java
@@ -48,7 +48,7 @@
             down.remove(rank);
             Membership member = new Membership(rank, members.length, now, random.nextLong());
             members[rank] = member;
-            at(member.dueMs(), () -> tick(rank, member));
+            at(member.nextTickMs(), () -> tick(rank, member));
         }
 
         private void at(double when, Runnable task) {
@@ -62,18 +62,18 @@
                 return;
             }
             send(rank, member.tick(now));
-            at(member.dueMs(), () -> tick(rank, member));
+            at(member.nextTickMs(), () -> tick(rank, member));
         }
 
-        private void send(int from, List<Membership.Outgoing> out) {
-            for (Membership.Outgoing one : out) {
+        private void send(int from, List<Membership.OutgoingDatagram> out) {
+            for (Membership.OutgoingDatagram one : out) {
                 assertThat(one.bytes().length).isLessThanOrEqualTo(DatagramFormat.MAX_BYTES);
                 if (random.nextDouble() < loss || cut.test(from, one.recipient())) continue;
                 at(now + 1 + 38 * random.nextDouble(), () -> arrive(from, one));
             }
         }
 
-        private void arrive(int from, Membership.Outgoing one) {
+        private void arrive(int from, Membership.OutgoingDatagram one) {
             if (down.contains(one.recipient())) return;
             if (stopped.contains(one.recipient())) whileStopped.add(() -> arrive(from, one));
             else send(one.recipient(), members[one.recipient()].receive(from, one.bytes(), one.bytes().length, now));
@@ -107,7 +107,7 @@
 
         private boolean agreed() {
             double off = members.length < 20 ? 0 : 0.05 * members.length;
-            return running().allMatch(i -> Math.abs(members[i].alive() - (members.length - down.size())) <= off);
+            return running().allMatch(i -> Math.abs(members[i].aliveCount() - (members.length - down.size())) <= off);
         }
 
         IntStream running() {
@@ -268,6 +268,6 @@
         Membership member = new Membership(0, 3, 1_000, 1);
         assertThat(member.receive(from, bytes, length, 2_000)).isEmpty();
         assertThat(member.dropped()).isEqualTo(Map.of(reason, 1L));
-        assertThat(member.alive()).isEqualTo(3);
+        assertThat(member.aliveCount()).isEqualTo(3);
     }
 }
--- a/src/test/java/maplerail/fleet/OutlierConsensusTest.java
+++ b/src/test/java/maplerail/fleet/OutlierConsensusTest.java
@@ -56,7 +56,7 @@
 
     private long holding(long engine) {
         return IntStream.range(0, TIER)
-                .filter(i -> tier[i].decide(now, ALL).contains(engine))
+                .filter(i -> tier[i].updateEjections(now, ALL).contains(engine))
                 .count();
     }
 
@@ -79,9 +79,9 @@
         if (holders >= 0) assertThat(holding(1)).isEqualTo(holders);
         else
             for (OutlierConsensus one : tier)
-                assertThat(one.decide(now, ALL).size()).isBetween(1, -holders);
+                assertThat(one.updateEjections(now, ALL).size()).isBetween(1, -holders);
         assertThat(IntStream.range(0, TIER)
-                                .anyMatch(i -> tier[i].decide(now, ALL).contains((long) engines))
+                                .anyMatch(i -> tier[i].updateEjections(now, ALL).contains((long) engines))
                         && !failing.contains((long) engines))
                 .as("one that is well")
                 .isFalse();
@@ -93,7 +93,7 @@
         round(12, 10, Set.of(1L));
         assertThat(holding(1)).isPositive();
         int owner = IntStream.range(0, TIER)
-                .filter(i -> !tier[i].decide(now, ALL).contains(1L))
+                .filter(i -> !tier[i].updateEjections(now, ALL).contains(1L))
                 .findFirst()
                 .orElseThrow();
         for (int i = 0; i < 5; i++) {
@@ -105,7 +105,8 @@
         // The owner dies: another has it in its place.
         IntPredicate without = g -> g != owner;
         assertThat(IntStream.range(0, TIER)
-                        .filter(i -> i != owner && !tier[i].decide(now, without).contains(1L))
+                        .filter(i -> i != owner
+                                && !tier[i].updateEjections(now, without).contains(1L))
                         .count())
                 .isEqualTo(OutlierConsensus.OWNERS);
         now += OutlierConsensus.EJECTION_MS;
@@ -124,7 +125,7 @@
         for (int i = 0; i < 5; i++) tier[4].recordOutcome(2, true, now);
         for (int i = 5; i < TIER; i++) for (int n = 0; n < 3; n++) tier[i].recordOutcome(2, false, now);
         tell();
-        assertThat(tier[4].decide(now, ALL)).doesNotContain(2L);
+        assertThat(tier[4].updateEjections(now, ALL)).doesNotContain(2L);
         assertThat(holding(2)).isPositive();
     }
 
@@ -193,7 +194,7 @@
                         .endpoints())
                 .extracting(Endpoint::state)
                 .containsExactly(EndpointState.READY, EndpointState.REMOVED);
-        assertThat(view.kinds()).containsOnlyKeys(1L);
+        assertThat(view.kindsByEngine()).containsOnlyKeys(1L);
         assertThat(view.setEjected(Set.of(2L))).as("one that is gone").isEmpty();
     }
 
--- a/src/test/java/maplerail/migration/HandoverTest.java
+++ b/src/test/java/maplerail/migration/HandoverTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void whatIsWrittenIsRead() {
-        assertThat(HandoverSnapshot.read(SNAPSHOT.text(), NOW + 30)).contains(SNAPSHOT);
+        assertThat(HandoverSnapshot.parse(SNAPSHOT.toJson(), NOW + 30)).contains(SNAPSHOT);
     }
 
     /** Written by the version before package migration: both run beside each other during an upgrade. */
@@ -34,8 +34,8 @@
         String earlier =
                 "{\"form\":1,\"written_ms\":1.796155158E12,\"held\":[[1,\"fffffffffffffff9\",\"a89b790ba0b6\",2352,"
                         + "1796155157960],[0,\"299e4f76b58ad\",\"d1fefdb73830\",1785,1796155139000]]}";
-        assertThat(HandoverSnapshot.read(earlier, NOW + 30)).contains(SNAPSHOT);
-        assertThat(SNAPSHOT.text()).isEqualTo(earlier);
+        assertThat(HandoverSnapshot.parse(earlier, NOW + 30)).contains(SNAPSHOT);
+        assertThat(SNAPSHOT.toJson()).isEqualTo(earlier);
     }
 
     /** Nothing in it is needed, so whatever is odd about it only means that there is none. */
@@ -54,24 +54,24 @@
             ]]}          | ]]
             """)
     void whatIsOddIsIgnored(String right, String wrong) {
-        String text = SNAPSHOT.text();
+        String text = SNAPSHOT.toJson();
         assertThat(text).contains(right);
-        assertThat(HandoverSnapshot.read(text.replace(right, wrong), NOW + 30)).isEmpty();
+        assertThat(HandoverSnapshot.parse(text.replace(right, wrong), NOW + 30)).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"0,true", "4900,true", "5100,false", "86400000,false", "-40,true", "-1000,false"})
     void whatIsOldOrFromTheFutureIsIgnored(double ageMs, boolean believed) {
-        assertThat(HandoverSnapshot.read(new HandoverSnapshot(NOW, List.of()).text(), NOW + ageMs)
+        assertThat(HandoverSnapshot.parse(new HandoverSnapshot(NOW, List.of()).toJson(), NOW + ageMs)
                         .isPresent())
                 .isEqualTo(believed);
     }
 
     @Test
     void cutAnywhereItIsIgnored() {
-        String text = SNAPSHOT.text();
+        String text = SNAPSHOT.toJson();
         for (int length = 0; length < text.length(); length++) {
-            assertThat(HandoverSnapshot.read(text.substring(0, length), NOW))
+            assertThat(HandoverSnapshot.parse(text.substring(0, length), NOW))
                     .as(text.substring(0, length))
                     .isEmpty();
         }
@@ -79,11 +79,11 @@
 
     @Test
     void theLastTextIsTakenOnceAndNothingIsLeftBehind() throws Exception {
-        new HandoverFile(folder, 1).leave("one");
-        new HandoverFile(folder, 2).leave("two");
+        new HandoverFile(folder, 1).write("one");
+        new HandoverFile(folder, 2).write("two");
         HandoverFile next = new HandoverFile(folder, 3);
-        assertThat(next.take()).contains("two");
-        assertThat(next.take()).isEmpty();
+        assertThat(next.readAndDelete()).contains("two");
+        assertThat(next.readAndDelete()).isEmpty();
         try (Stream<Path> left = Files.list(folder)) {
             assertThat(left).isEmpty();
         }
@@ -92,7 +92,7 @@
     @Test
     void aFolderThatIsNotThereCostsNothing() {
         HandoverFile none = new HandoverFile(folder.resolve("none"), 1);
-        none.leave("one");
-        assertThat(none.take()).isEmpty();
+        none.write("one");
+        assertThat(none.readAndDelete()).isEmpty();
     }
 }
