--- a/src/main/java/maplerail/core/AdoptedStreams.java
+++ b/src/main/java/maplerail/core/AdoptedStreams.java
@@ -109,7 +109,7 @@
 
         /** An engine that falls silent in the middle of a stream is given up, as in {@link AttemptDispatcher}. */
         private void watchForStall(double afterMs) {
-            stallTimer = loop.at(loop.nowMs() + afterMs, () -> {
+            stallTimer = loop.schedule(loop.nowMs() + afterMs, () -> {
                 if (closed) return;
                 double silentMs = paused ? 0 : loop.nowMs() - lastEventMs;
                 if (silentMs >= stallTimeoutMs) breakOff();
--- a/src/main/java/maplerail/core/AttemptDispatcher.java
+++ b/src/main/java/maplerail/core/AttemptDispatcher.java
@@ -76,7 +76,7 @@
         } else if (record.reservations.isExpired() && !readsPrompt) {
             end(attempt, AttemptOutcome.STATE_LOST, 0);
         } else {
-            attempt.timeout = loop.at(deadlineMs, () -> onDeadline(attempt));
+            attempt.timeout = loop.schedule(deadlineMs, () -> onDeadline(attempt));
             attempt.handle = new UnsentAttempt();
             if (readsPrompt) reservations.beforeRead(record, () -> send(attempt, deadlineMs));
             else send(attempt, deadlineMs);
@@ -173,7 +173,7 @@
      * has begun: the client would wait for ever instead of asking for the rest elsewhere.
      */
     private void watchForStall(Attempt attempt, double afterMs) {
-        attempt.timeout = loop.at(loop.nowMs() + afterMs, () -> {
+        attempt.timeout = loop.schedule(loop.nowMs() + afterMs, () -> {
             double silentMs = attempt.paused ? 0 : loop.nowMs() - attempt.lastEventMs;
             double limitMs = attempt.record.request.payload().stallTimeoutMs();
             if (silentMs >= limitMs) abort(attempt, AttemptOutcome.RESET, AbortReason.STALLED);
@@ -276,7 +276,7 @@
         }
 
         @Override
-        public boolean isWanted() {
+        public boolean isNeeded() {
             checkClient(attempt.record);
             // Decided while engines dropped repeats, it may have waited for a connection until they no longer do.
             if (attempt.record.isKeyExpiredFor(attempt, loop.nowMs())) {
--- a/src/main/java/maplerail/core/AttemptHandle.java
+++ b/src/main/java/maplerail/core/AttemptHandle.java
@@ -24,7 +24,7 @@
     }
 
     /** When its connection last carried an answer before this attempt or, if it is new, was opened. */
-    default double connectionHeardMs() {
+    default double connectionLastResponseMs() {
         return Double.NEGATIVE_INFINITY;
     }
 
--- a/src/main/java/maplerail/core/AttemptObserver.java
+++ b/src/main/java/maplerail/core/AttemptObserver.java
@@ -5,7 +5,7 @@
 /** Receives what becomes of one attempt. Exactly one of {@link #onInvalidRequest} and {@link #onEnded} is called, last. */
 public interface AttemptObserver {
     /** False if nobody wants the attempt any more; asked before one that had to wait for a connection is sent. */
-    default boolean isWanted() {
+    default boolean isNeeded() {
         return true;
     }
 
--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -87,7 +87,7 @@
     // ---- Requests ----
 
     /** Takes a request; its observer gets exactly one final answer in any case. */
-    public RequestHandle take(InferenceRequest request, ResponseObserver observer) {
+    public RequestHandle submit(InferenceRequest request, ResponseObserver observer) {
         Optional<RequestRecord> opened = intake.open(request, observer, terms, latestDeadlineMs);
         if (opened.isEmpty()) {
             terms.of(request).tally().count(Verdict.ERRORED);
@@ -101,7 +101,7 @@
             return RequestHandle.CLOSED;
         }
         record.admitted = true;
-        record.deadlineTimer = loop.at(record.deadlineMs + DEADLINE_SLACK_MS, () -> onUnansweredDeadline(record));
+        record.deadlineTimer = loop.schedule(record.deadlineMs + DEADLINE_SLACK_MS, () -> onUnansweredDeadline(record));
         routing.report(arrivalOf(record));
         return new OpenRequest(record);
     }
@@ -207,7 +207,7 @@
      * clients ask for the rest elsewhere. Requests that do not stream yet go on. To be called by a timer of the loop, so that
      * what engines have finished has been passed on to its end.
      */
-    public void breakOffStreams(double share) {
+    public void abortStreams(double share) {
         List<RequestRecord> streams = registry.streaming();
         for (RequestRecord record : streams.subList(0, (int) Math.ceil(share * streams.size()))) {
             if (!registry.answer(record, Verdict.ERRORED)) continue;
@@ -274,7 +274,7 @@
     }
 
     /** The number of requests that wait for their final answer. */
-    public int unansweredRequests() {
+    public int unfinishedRequests() {
         return registry.unanswered() + adoptedStreams.size();
     }
 
@@ -328,7 +328,7 @@
 
         @Override
         public void onSetTimer(SetTimer order) {
-            loop.at(order.atMs(), () -> routing.report(new RoutingEvent.TimerFired(order.token())));
+            loop.schedule(order.atMs(), () -> routing.report(new RoutingEvent.TimerFired(order.token())));
         }
 
         @Override
--- a/src/main/java/maplerail/core/DrainSchedule.java
+++ b/src/main/java/maplerail/core/DrainSchedule.java
@@ -22,7 +22,7 @@
     private final EventLoop loop;
     private volatile double refusingFromMs = NEVER;
     private volatile boolean sendingAway;
-    private volatile int drains;
+    private volatile int drainCount;
 
     /** Creates the schedule of a process that is in the lifecycle's phase now. */
     public DrainSchedule(Lifecycle lifecycle, EventLoop loop) {
@@ -44,27 +44,27 @@
 
     private void begin(double takingMs) {
         refusingFromMs = Math.min(refusingFromMs, loop.nowMs() + takingMs);
-        if (!sendingAway) drains++; // told one at a time, by the thread that moves the phase
+        if (!sendingAway) drainCount++; // told one at a time, by the thread that moves the phase
         sendingAway = true;
     }
 
     /** True while each answer ends its client's connection, unless more has come on that. */
-    public boolean isSendingAway() {
+    public boolean isDraining() {
         return sendingAway;
     }
 
     /** The number of times that clients began to be sent away; a stop in the middle of a lame duck is none of its own. */
-    public int drains() {
-        return drains;
+    public int drainCount() {
+        return drainCount;
     }
 
     /** True once new requests are refused, whatever connection they come on. */
-    public boolean isRefusing() {
+    public boolean isRejecting() {
         return loop.nowMs() >= refusingFromMs;
     }
 
     /** True once requests that are not complete are not waited for. */
-    public boolean isRefusingIncomplete() {
+    public boolean isRejectingIncomplete() {
         return loop.nowMs() >= refusingFromMs + INCOMPLETE_MS;
     }
 }
--- a/src/main/java/maplerail/core/EngineTransport.java
+++ b/src/main/java/maplerail/core/EngineTransport.java
@@ -32,8 +32,8 @@
      * @param onAnswer is called once
      */
     default void reservePlace(
-            long engine, String requestId, ConnectionChoice connection, Consumer<PlaceAnswer> onAnswer) {
-        onAnswer.accept(PlaceAnswer.UNKNOWN);
+            long engine, String requestId, ConnectionChoice connection, Consumer<ReservePlaceResult> onAnswer) {
+        onAnswer.accept(ReservePlaceResult.UNKNOWN);
     }
 
     /**
@@ -47,5 +47,5 @@
      * @param untilMs the time until which the call is retried
      * @param gate is asked before each call but the first, and told of the answers
      */
-    void release(long engine, Set<Long> others, String requestId, double untilMs, ReleaseGate gate);
+    void release(long engine, Set<Long> others, String requestId, double untilMs, ReleaseControl gate);
 }
--- a/src/main/java/maplerail/core/EventLoop.java
+++ b/src/main/java/maplerail/core/EventLoop.java
@@ -11,7 +11,7 @@
      * <p>What the sockets had received when the task became due has been handled before the task runs, however late the loop
      * is. So a task may give up, repeat or end what an answer would have ended, without looking for that answer itself.
      */
-    Timer at(double whenMs, Runnable task);
+    Timer schedule(double whenMs, Runnable task);
 
     /** A task that waits for its time. */
     interface Timer {
--- a/src/main/java/maplerail/core/LoopLagMonitor.java
+++ b/src/main/java/maplerail/core/LoopLagMonitor.java
@@ -36,6 +36,6 @@
         lagMs = running ? measuredMs : 0;
         double dueMs = loop.nowMs() + PERIOD_MS;
         nextCheckMs = dueMs;
-        if (running) loop.at(dueMs, () -> check(loop.nowMs() - dueMs));
+        if (running) loop.schedule(dueMs, () -> check(loop.nowMs() - dueMs));
     }
 }
--- a/src/main/java/maplerail/core/ReadInquiry.java
+++ b/src/main/java/maplerail/core/ReadInquiry.java
@@ -26,10 +26,10 @@
     }
 
     /** Notes a writer's answer, or that there was none. */
-    void onAnswer(PlaceAnswer answer, double nowMs) {
+    void onAnswer(ReservePlaceResult answer, double nowMs) {
         open = false;
-        failed = answer == PlaceAnswer.UNKNOWN;
-        inFlight |= answer.isReading();
+        failed = answer == ReservePlaceResult.UNKNOWN;
+        inFlight |= answer.confirmsRead();
         notBeforeMs = nowMs + retryMs;
         retryMs = failed ? Math.min(MAX_RETRY_MS, 2 * retryMs) : RETRY_MS;
     }
--- a/src/main/java/maplerail/core/ReadTracker.java
+++ b/src/main/java/maplerail/core/ReadTracker.java
@@ -145,9 +145,9 @@
     }
 
     /** A writer has answered what it was asked about a read, or has not. */
-    void onWord(Attempt read, PlaceAnswer answer, double nowMs) {
+    void onWord(Attempt read, ReservePlaceResult answer, double nowMs) {
         read.inquiry.onAnswer(answer, nowMs);
-        if (!answer.isReading() || !read.isInFlight()) return;
+        if (!answer.confirmsRead() || !read.isInFlight()) return;
         Reader reader = reader(read.engine);
         reader.inFlightAtMs = nowMs;
         reader.inFlightWrittenMs = read.writtenMs();
--- a/src/main/java/maplerail/core/ReservationKeeper.java
+++ b/src/main/java/maplerail/core/ReservationKeeper.java
@@ -100,7 +100,7 @@
             return;
         }
         record.waitingReads.add(send);
-        loop.at(loop.nowMs() + RELEASE_BEFORE_READ_MS, () -> {
+        loop.schedule(loop.nowMs() + RELEASE_BEFORE_READ_MS, () -> {
             if (record.waitingReads.remove(send)) send.run();
         });
     }
@@ -223,16 +223,17 @@
         }
     }
 
-    private void onPlaceAnswer(Attempt read, long writer, PlaceAnswer answer) {
+    private void onPlaceAnswer(Attempt read, long writer, ReservePlaceResult answer) {
         RequestRecord record = read.record;
         reads.onWord(read, answer, loop.nowMs());
         if (!read.isInFlight()) {
             // The release that followed the read may have overtaken the place.
-            if (answer != PlaceAnswer.NOT_HELD) record.reservations.put(Reservation.abandoned(writer, false));
-        } else if (answer == PlaceAnswer.HELD) {
+            if (answer != ReservePlaceResult.NOT_RESERVED)
+                record.reservations.put(Reservation.abandoned(writer, false));
+        } else if (answer == ReservePlaceResult.RESERVED) {
             attempts.onPlaceHeld(record, writer);
-        } else if (answer == PlaceAnswer.NO_READ) {
-            loop.at(loop.nowMs() + ENDED_READ_ANSWER_MS, () -> endLost(read));
+        } else if (answer == ReservePlaceResult.NO_READ_IN_FLIGHT) {
+            loop.schedule(loop.nowMs() + ENDED_READ_ANSWER_MS, () -> endLost(read));
         }
         review(record);
     }
@@ -284,7 +285,7 @@
         // What waits for a read in flight is looked at when that one has ended, which its own deadline bounds.
         boolean waits = !record.reservations.unreleased().isEmpty();
         if (waits && !isReading(record)) nextMs = Math.min(nextMs, overdueAtMs(record));
-        if (nextMs < Double.POSITIVE_INFINITY) record.reservationTimer = loop.at(nextMs, () -> onTimer(record));
+        if (nextMs < Double.POSITIVE_INFINITY) record.reservationTimer = loop.schedule(nextMs, () -> onTimer(record));
     }
 
     // ---- Releases ----
@@ -315,7 +316,7 @@
         order(record, reservation, triedMs, new UnusedGate(this, record, reservation));
     }
 
-    private void order(RequestRecord record, Reservation reservation, double triedMs, ReleaseGate gate) {
+    private void order(RequestRecord record, Reservation reservation, double triedMs, ReleaseControl gate) {
         double untilMs = loop.nowMs() + triedMs;
         transport.release(reservation.engine, directory.readyEngines(), record.request.id(), untilMs, gate);
     }
@@ -332,7 +333,7 @@
             return;
         }
         double dueMs = reservation.holderAnsweredMs() + REPEAT_AFTER_MS[reservation.repeats()];
-        loop.at(dueMs, () -> {
+        loop.schedule(dueMs, () -> {
             reservation.awaitRepeat();
             if (isUnneeded(record)) repeat(record, reservation);
         });
@@ -359,28 +360,28 @@
     }
 
     /** Of a release of what a write in flight may have taken. */
-    private record InUseGate(RequestRecord record) implements ReleaseGate {
+    private record InUseGate(RequestRecord record) implements ReleaseControl {
         @Override
-        public boolean isOpen() {
+        public boolean maySend() {
             return !isReading(record);
         }
 
         @Override
-        public boolean isSuspect(long engine) {
+        public boolean isUnresponsive(long engine) {
             return record.hasUnansweredAt(engine);
         }
     }
 
     /** Of a release of what nothing waits for. */
     private record UnusedGate(ReservationKeeper keeper, RequestRecord record, Reservation reservation)
-            implements ReleaseGate {
+            implements ReleaseControl {
         @Override
-        public boolean isOpen() {
+        public boolean maySend() {
             return isUnneeded(record);
         }
 
         @Override
-        public boolean isSuspect(long engine) {
+        public boolean isUnresponsive(long engine) {
             return record.hasUnansweredAt(engine);
         }
 
@@ -390,13 +391,13 @@
         }
 
         @Override
-        public void onAnswered() {
+        public void onReleased() {
             reservation.onReleased();
             keeper.runWaitingReads(record);
         }
 
         @Override
-        public void onHolderAnswered() {
+        public void onHolderResponded() {
             keeper.onHolderAnswered(record, reservation);
         }
 
--- a/src/main/java/maplerail/core/PlaceAnswer.java
+++ b/src/main/java/maplerail/core/ReservePlaceResult.java
@@ -1,18 +1,18 @@
 package maplerail.core;
 
 /** What came of asking a writer to hold a place for a request that is being read. */
-public enum PlaceAnswer {
+public enum ReservePlaceResult {
     /** A read is in flight, and the writer holds a place. */
-    HELD,
+    RESERVED,
     /** A read is in flight, and the writer holds no place. */
-    NOT_HELD,
+    NOT_RESERVED,
     /** No read is in flight: it never arrived, or has ended. The writer may hold a place all the same. */
-    NO_READ,
+    NO_READ_IN_FLIGHT,
     /** The writer gave no answer that tells anything. */
     UNKNOWN;
 
     /** True if a read of the request is in flight at a reader. */
-    boolean isReading() {
-        return this == HELD || this == NOT_HELD;
+    boolean confirmsRead() {
+        return this == RESERVED || this == NOT_RESERVED;
     }
 }
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -76,14 +76,14 @@
         Response response = new Response(ownTurn);
         Call call = pool.start(address, Requests.to(address, Methods.GET, target), new byte[0], response);
         double timeoutMs = blocks ? BLOCKING_TIMEOUT_MS : SHORT_TIMEOUT_MS;
-        loop.at(loop.nowMs() + timeoutMs, () -> response.expire(call));
-        if (!blocks) loop.at(loop.nowMs() + REPEAT_MS, () -> pollInTurn(ownTurn));
+        loop.schedule(loop.nowMs() + timeoutMs, () -> response.expire(call));
+        if (!blocks) loop.schedule(loop.nowMs() + REPEAT_MS, () -> pollInTurn(ownTurn));
     }
 
     private void pollLater(double afterMs) {
         turn++;
         int ownTurn = turn;
-        loop.at(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
+        loop.schedule(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
     }
 
     private void pollInTurn(int ownTurn) {
--- a/src/main/java/maplerail/discovery/PlatformDiscovery.java
+++ b/src/main/java/maplerail/discovery/PlatformDiscovery.java
@@ -100,13 +100,13 @@
         LOG.debug("polling address={} target={}", address, poll.target());
         new Response(ownTurn).request(poll);
         double repeatMs = schedule.repeatMs();
-        if (repeatMs < poll.timeoutMs()) loop.at(loop.nowMs() + repeatMs, () -> pollInTurn(ownTurn));
+        if (repeatMs < poll.timeoutMs()) loop.schedule(loop.nowMs() + repeatMs, () -> pollInTurn(ownTurn));
     }
 
     private void pollLater(double afterMs) {
         turn++;
         int ownTurn = turn;
-        loop.at(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
+        loop.schedule(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
     }
 
     private void pollInTurn(int ownTurn) {
@@ -137,7 +137,7 @@
             Call call = pool.start(address, Requests.to(address, Methods.GET, poll.target()), new byte[0], this);
             latestCall = Optional.of(call);
             // The connection to an agent that was cut off would stay open and silent.
-            loop.at(loop.nowMs() + poll.timeoutMs(), () -> expire(call));
+            loop.schedule(loop.nowMs() + poll.timeoutMs(), () -> expire(call));
         }
 
         @Override
--- a/src/main/java/maplerail/front/AcceptThrottle.java
+++ b/src/main/java/maplerail/front/AcceptThrottle.java
@@ -75,6 +75,6 @@
         admitting = !waiting.isEmpty();
         for (int i = 0; i < most && !waiting.isEmpty(); i++) next.handleEvent(waiting.poll());
         double due = loop.nowMs() + PAUSE_MS;
-        if (admitting) loop.at(due, () -> admit(loop.nowMs() - due < LATE_MS ? AT_ONCE : 1));
+        if (admitting) loop.schedule(due, () -> admit(loop.nowMs() - due < LATE_MS ? AT_ONCE : 1));
     }
 }
--- a/src/main/java/maplerail/front/ConnectionManager.java
+++ b/src/main/java/maplerail/front/ConnectionManager.java
@@ -97,7 +97,7 @@
         clients.put(connection, client);
         client.readAhead = new ReadAheadConduit(connection.getSourceChannel().getConduit(), () -> onBytes(client));
         connection.getSourceChannel().setConduit(client.readAhead);
-        if (!sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
         sweeping = true;
         return client;
     }
@@ -118,12 +118,12 @@
         boolean sentBefore = client(exchange).map(drainBoundary::isBefore).orElse(true);
         exchange.addResponseCommitListener(committed -> {
             boolean isStream = committed.getResponseContentLength() < 0;
-            if (drain.isSendingAway() && !(sentBefore && isStream)) announceEnd(committed);
+            if (drain.isDraining() && !(sentBefore && isStream)) announceEnd(committed);
         });
         exchange.addExchangeCompleteListener((done, proceed) -> {
             set(done, !done.isPersistent() ? State.PARTING : isNextBuffered(done) ? State.ARRIVING : State.IDLE);
             proceed.proceed();
-            if (drain.isSendingAway()) client(done).ifPresent(client -> endAfterLinger(connection(done), client));
+            if (drain.isDraining()) client(done).ifPresent(client -> endAfterLinger(connection(done), client));
         });
     }
 
@@ -144,7 +144,7 @@
     /** Ends a connection that stays idle after its answer. */
     private void endAfterLinger(StreamConnection connection, ClientConnection client) {
         double idleSinceMs = client.sinceMs;
-        loop.at(loop.nowMs() + LINGER_MS, () -> {
+        loop.schedule(loop.nowMs() + LINGER_MS, () -> {
             if (client.state != State.IDLE || client.sinceMs != idleSinceMs || !quiet(client)) return;
             try {
                 metrics.count(EventCount.CONNECTIONS_CLOSED_DRAINING);
@@ -203,7 +203,7 @@
             double age = now - client.sinceMs;
             boolean late = switch (client.state) {
                 case SILENT -> age >= ARRIVE_MS && quiet(client);
-                case ARRIVING -> age >= (drain.isRefusingIncomplete() ? DRAINING_ARRIVE_MS : ARRIVE_MS);
+                case ARRIVING -> age >= (drain.isRejectingIncomplete() ? DRAINING_ARRIVE_MS : ARRIVE_MS);
                 case IDLE -> age >= LONG_IDLE_MS && quiet(client);
                 case PARTING -> age >= PARTING_MS;
                 default -> false;
@@ -215,14 +215,14 @@
         end(State.IDLE, clients.size() >= most - most / FULL_PART ? SILENT_MS : IDLE_MS, now);
         end(State.SILENT, SILENT_MS, now);
         sweeping = !clients.isEmpty();
-        if (sweeping) loop.at(now + SWEEP_MS, this::sweep);
+        if (sweeping) loop.schedule(now + SWEEP_MS, this::sweep);
     }
 
     private void evict(StreamConnection connection) {
         ClientConnection client = clients.get(connection);
         if (client.state == State.ARRIVING) {
             try {
-                boolean draining = drain.isRefusingIncomplete();
+                boolean draining = drain.isRejectingIncomplete();
                 connection.getSinkChannel().write(ByteBuffer.wrap(draining ? DRAINING : TOO_LATE));
                 metrics.count(
                         draining
@@ -283,7 +283,7 @@
 
     /** True while a connection whose answer has just ended is kept for the request that may follow at once. */
     private boolean lingers(ClientConnection client) {
-        return client.state == State.IDLE && drain.isSendingAway() && loop.nowMs() - client.sinceMs < LINGER_MS;
+        return client.state == State.IDLE && drain.isDraining() && loop.nowMs() - client.sinceMs < LINGER_MS;
     }
 
     /** Ends all connections: the worker's end alone would leave them open. */
@@ -313,7 +313,7 @@
             client.state = client.readAhead.holds() ? State.ARRIVING : State.IDLE;
             client.sinceMs = loop.nowMs();
             next.handleEvent(connection);
-            if (drain.isSendingAway()) endAfterLinger(connection, client);
+            if (drain.isDraining()) endAfterLinger(connection, client);
         }
     }
 
--- a/src/main/java/maplerail/front/DrainBoundary.java
+++ b/src/main/java/maplerail/front/DrainBoundary.java
@@ -31,7 +31,7 @@
      */
     void onAccepted(Collection<StreamConnection> waiting, Collection<ClientConnection> open, boolean isFull) {
         if (isUnnoted()) {
-            notedDrains = drain.drains();
+            notedDrains = drain.drainCount();
             open.forEach(ClientConnection::noteDrain);
             listenerHoldsEarlier = true;
         }
@@ -47,10 +47,10 @@
 
     /** True if the request whose head has just been read was sent before the drain began, or none has begun. */
     boolean isBefore(ClientConnection client) {
-        return !drain.isSendingAway() || isUnnoted() || client.hasReadOnlyWhatCameBefore();
+        return !drain.isDraining() || isUnnoted() || client.hasReadOnlyWhatCameBefore();
     }
 
     private boolean isUnnoted() {
-        return drain.isSendingAway() && notedDrains != drain.drains();
+        return drain.isDraining() && notedDrains != drain.drainCount();
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/Answers.java
+++ b/src/main/java/maplerail/front/jsonrpc/Answers.java
@@ -71,7 +71,7 @@
                 false,
                 body.length,
                 new HttpCargo(io.undertow.util.Methods.POST, "/v1/chat/completions", headers, body));
-        return broker.take(ask, new AnswerCaller(pending));
+        return broker.submit(ask, new AnswerCaller(pending));
     }
 
     private static double figure(Tree number, double most) {
--- a/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
+++ b/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
@@ -177,7 +177,7 @@
         }
         String accept = headers.getFirst(Headers.ACCEPT);
         stream.begin(exchange, owed, accept != null && accept.contains("text/event-stream"));
-        if (!sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
         sweeping = true;
     }
 
@@ -231,7 +231,7 @@
         sessions.values().removeIf(this::over);
         bare.removeIf(this::over);
         sweeping = !sessions.isEmpty() || !bare.isEmpty();
-        if (sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
     }
 
     private boolean over(Kept kept) {
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -143,7 +143,7 @@
             if (session.openRequests() > 0) return;
             closing = true;
             WebSockets.sendClose(new CloseMessage(CloseMessage.GOING_AWAY, "draining"), channel, null);
-            loop.at(loop.nowMs() + GOODBYE_MS, () -> IoUtils.safeClose(channel));
+            loop.schedule(loop.nowMs() + GOODBYE_MS, () -> IoUtils.safeClose(channel));
         }
 
         private void now() {
--- a/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
@@ -30,7 +30,7 @@
     @Override
     public boolean onEvent(byte[] event) {
         // The first event ends the deadline that the broker keeps: from here on the contract's most counts.
-        if (limit == null) limit = loop.at(loop.nowMs() + progress.leftMs(loop.nowMs()), pending::expire);
+        if (limit == null) limit = loop.schedule(loop.nowMs() + progress.leftMs(loop.nowMs()), pending::expire);
         String text = new String(event, StandardCharsets.UTF_8);
         Map<String, String> fields = Json.fields(text);
         if (fields != null && fields.containsKey("method")) return step(fields);
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/Tools.java
@@ -70,7 +70,7 @@
                         contract.mostReply(),
                         contract.deadlineMs()));
         return services.get(tool.service())
-                .take(
+                .submit(
                         ask,
                         new ToolCaller(
                                 pending, new Progress(id, loop.nowMs(), contract.mostDeadlineMs()), token, loop));
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -88,6 +88,6 @@
             answer.say(400, e.getMessage());
             return;
         }
-        answer.hold(broker.take(ask, answer));
+        answer.hold(broker.submit(ask, answer));
     }
 }
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -240,7 +240,8 @@
     private void within() {
         if (!reader.within() || reader.units() != unitsSeen) calm();
         unitsSeen = reader.units();
-        if (reader.within() && limit == null) limit = pool.loop().at(pool.loop().nowMs() + WITHIN_MS, this::fail);
+        if (reader.within() && limit == null)
+            limit = pool.loop().schedule(pool.loop().nowMs() + WITHIN_MS, this::fail);
     }
 
     private void calm() {
--- a/src/main/java/maplerail/net/EngineAttempt.java
+++ b/src/main/java/maplerail/net/EngineAttempt.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public double connectionHeardMs() {
+    public double connectionLastResponseMs() {
         return call.connectionHeardMs();
     }
 
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -26,8 +26,8 @@
 import maplerail.core.ConnectionChoice;
 import maplerail.core.EngineTransport;
 import maplerail.core.InferenceRequest;
-import maplerail.core.PlaceAnswer;
-import maplerail.core.ReleaseGate;
+import maplerail.core.ReleaseControl;
+import maplerail.core.ReservePlaceResult;
 import maplerail.metrics.EventCount;
 import maplerail.metrics.Metrics;
 import maplerail.routing.AttemptOutcome;
@@ -133,7 +133,7 @@
 
             @Override
             void onPromptRead() {
-                loop.at(loop.nowMs() + READ_ANSWER_MS, this::endIncomplete);
+                loop.schedule(loop.nowMs() + READ_ANSWER_MS, this::endIncomplete);
             }
         };
         reply.call = pool.start(to, request, cargo.body(), reply, connection);
@@ -170,7 +170,7 @@
 
         @Override
         public boolean wanted() {
-            return answer.isWanted();
+            return answer.isNeeded();
         }
 
         @Override
@@ -239,13 +239,13 @@
 
     @Override
     public void reservePlace(
-            long engine, String requestId, ConnectionChoice connection, Consumer<PlaceAnswer> onAnswer) {
+            long engine, String requestId, ConnectionChoice connection, Consumer<ReservePlaceResult> onAnswer) {
         metrics.count(EventCount.PLACES_ASKED);
         new PlaceCall(pool, address(engine), requestId, onAnswer).start(connection);
     }
 
     @Override
-    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseGate gate) {
+    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {
         InetSocketAddress known = address(engine);
         List<InetSocketAddress> instead = lastToAnswer(others, known, id, gate);
         // Any engine can release a state: one that has long left may have left it behind.
@@ -268,14 +268,15 @@
     }
 
     /** The engines that may be asked instead of one: no suspects, and those that answered here last, come first. */
-    private List<InetSocketAddress> lastToAnswer(Set<Long> among, InetSocketAddress but, String id, ReleaseGate gate) {
+    private List<InetSocketAddress> lastToAnswer(
+            Set<Long> among, InetSocketAddress but, String id, ReleaseControl gate) {
         Set<InetSocketAddress> suspects = new HashSet<>();
         Map<InetSocketAddress, Double> quietMs = new HashMap<>();
         for (long engine : among) {
             InetSocketAddress address = address(engine);
             if (address != null && !address.equals(but)) {
                 quietMs.put(address, loop.nowMs() - pool.idleSinceMs(address));
-                if (gate.isSuspect(engine)) suspects.add(address);
+                if (gate.isUnresponsive(engine)) suspects.add(address);
             }
         }
         return quietMs.keySet().stream()
--- a/src/main/java/maplerail/net/PlaceCall.java
+++ b/src/main/java/maplerail/net/PlaceCall.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import maplerail.core.ConnectionChoice;
 import maplerail.core.EventLoop;
-import maplerail.core.PlaceAnswer;
+import maplerail.core.ReservePlaceResult;
 
 /** One call that asks a writer to hold a place for a request. */
 final class PlaceCall implements Reply {
@@ -23,12 +23,12 @@
     private final Pool pool;
     private final InetSocketAddress writer;
     private final String requestId;
-    private final Consumer<PlaceAnswer> onAnswer;
+    private final Consumer<ReservePlaceResult> onAnswer;
     private Call call;
     private EventLoop.Timer silence;
     private boolean over;
 
-    PlaceCall(Pool pool, InetSocketAddress writer, String requestId, Consumer<PlaceAnswer> onAnswer) {
+    PlaceCall(Pool pool, InetSocketAddress writer, String requestId, Consumer<ReservePlaceResult> onAnswer) {
         this.pool = pool;
         this.writer = writer;
         this.requestId = requestId;
@@ -39,15 +39,15 @@
         ClientRequest request = Requests.to(writer, Methods.POST, "/internal/reservations/" + requestId);
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
         call = pool.start(writer, request, new byte[0], this, connection);
-        silence = pool.loop().at(pool.loop().nowMs() + ANSWER_MS, this::onSilence);
+        silence = pool.loop().schedule(pool.loop().nowMs() + ANSWER_MS, this::onSilence);
     }
 
     private void onSilence() {
         call.abort();
-        end(PlaceAnswer.UNKNOWN);
+        end(ReservePlaceResult.UNKNOWN);
     }
 
-    private void end(PlaceAnswer answer) {
+    private void end(ReservePlaceResult answer) {
         if (over) return;
         over = true;
         silence.cancel();
@@ -58,10 +58,10 @@
     public void head(int status, HeaderMap headers) {
         end(
                 switch (status) {
-                    case HELD_STATUS -> PlaceAnswer.HELD;
-                    case NOT_HELD_STATUS -> PlaceAnswer.NOT_HELD;
-                    case NO_READ_STATUS -> PlaceAnswer.NO_READ;
-                    default -> PlaceAnswer.UNKNOWN;
+                    case HELD_STATUS -> ReservePlaceResult.RESERVED;
+                    case NOT_HELD_STATUS -> ReservePlaceResult.NOT_RESERVED;
+                    case NO_READ_STATUS -> ReservePlaceResult.NO_READ_IN_FLIGHT;
+                    default -> ReservePlaceResult.UNKNOWN;
                 });
     }
 
@@ -73,6 +73,6 @@
 
     @Override
     public void failed(boolean neverSent) {
-        end(PlaceAnswer.UNKNOWN);
+        end(ReservePlaceResult.UNKNOWN);
     }
 }
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/Pool.java
@@ -127,7 +127,7 @@
     /** Fails a call that has waited for as long as a connection may take, unless one has come up there meanwhile. */
     private void limitWait(WaitingCalls waiting, Call call) {
         double sinceMs = loop.nowMs();
-        call.waitUntil(loop.at(sinceMs + connectMs, () -> {
+        call.waitUntil(loop.schedule(sinceMs + connectMs, () -> {
             if (waiting.connectedMs >= sinceMs && call.waiting()) limitWait(waiting, call);
             else call.failUnconnected();
         }));
@@ -205,7 +205,7 @@
         metrics.count(EventCount.DIALS_BEGUN);
         double begunMs = loop.nowMs();
         IoFuture<StreamConnection> coming = loop.thread().openStreamConnection(to, null, OPTIONS);
-        EventLoop.Timer limit = loop.at(begunMs + connectMs, () -> {
+        EventLoop.Timer limit = loop.schedule(begunMs + connectMs, () -> {
             metrics.count(EventCount.DIALS_GIVEN_UP);
             call.failUnconnected();
             coming.cancel(); // one that never comes up would hold a descriptor for minutes
@@ -286,8 +286,8 @@
     void keep(PooledConnection link) {
         link.idle(loop.nowMs());
         idle.computeIfAbsent(link.to, t -> new ArrayDeque<>()).addLast(link);
-        if (queued.containsKey(link.to)) loop.at(loop.nowMs() + settleMs, () -> next(link.to));
-        if (!sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (queued.containsKey(link.to)) loop.schedule(loop.nowMs() + settleMs, () -> next(link.to));
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
         sweeping = true;
     }
 
@@ -303,7 +303,7 @@
         idle.values().removeIf(ArrayDeque::isEmpty);
         List.copyOf(queued.keySet()).forEach(this::next);
         sweeping = !idle.isEmpty();
-        if (sweeping) loop.at(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
     }
 
     /** When the connection there that is idle and was used last became so: an answer came then; long ago if there is none. */
--- a/src/main/java/maplerail/net/StateRelease.java
+++ b/src/main/java/maplerail/net/StateRelease.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import maplerail.core.ConnectionChoice;
 import maplerail.core.EventLoop;
-import maplerail.core.ReleaseGate;
+import maplerail.core.ReleaseControl;
 import maplerail.metrics.EventCount;
 import maplerail.metrics.Metrics;
 import org.slf4j.Logger;
@@ -40,7 +40,7 @@
     private final String requestId;
     private final Runnable onOver;
     private final Set<ReleaseCall> open = new HashSet<>();
-    private ReleaseGate gate;
+    private ReleaseControl gate;
     private double untilMs;
     private double retryMs = RETRY_MS;
     private boolean retryPending;
@@ -68,7 +68,7 @@
             List<InetSocketAddress> others,
             String requestId,
             double untilMs,
-            ReleaseGate gate,
+            ReleaseControl gate,
             Runnable onOver) {
         this.pool = pool;
         this.loop = pool.loop();
@@ -87,15 +87,15 @@
         metrics.count(EventCount.RELEASES);
         startedMs = loop.nowMs();
         unasked.addAll(others);
-        loop.at(untilMs, this::checkEnd);
+        loop.schedule(untilMs, this::checkEnd);
         askedAnew = connection == ConnectionChoice.NEW;
         call(holder, connection);
-        loop.at(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
     }
 
     /** The same release is wanted again, by a gate that takes the place of the one before: it is made once more at once. */
-    void renew(double newUntilMs, ReleaseGate newGate) {
-        ReleaseGate before = gate;
+    void renew(double newUntilMs, ReleaseControl newGate) {
+        ReleaseControl before = gate;
         gate = newGate;
         answered = false;
         untilMs = Math.max(untilMs, newUntilMs);
@@ -103,13 +103,13 @@
         unasked.clear();
         unasked.addAll(others);
         call(holder, askedAnew ? ConnectionChoice.NEW : ConnectionChoice.ANY);
-        loop.at(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
     }
 
     private void checkEnd() {
         if (ended) return;
-        boolean goesOn = loop.nowMs() < untilMs || !answered && !gate.isOpen();
-        if (goesOn) loop.at(Math.max(untilMs, loop.nowMs() + SILENT_MS), this::checkEnd);
+        boolean goesOn = loop.nowMs() < untilMs || !answered && !gate.maySend();
+        if (goesOn) loop.schedule(Math.max(untilMs, loop.nowMs() + SILENT_MS), this::checkEnd);
         else end();
     }
 
@@ -142,11 +142,11 @@
     private void retry() {
         if (retryPending || ended) return;
         retryPending = true;
-        loop.at(loop.nowMs() + retryMs, () -> {
+        loop.schedule(loop.nowMs() + retryMs, () -> {
             retryPending = false;
             if (ended) return;
             boolean urgent = !answered;
-            if (gate.isOpen() && (urgent || silentHolders.mayTry(holder, this))) call(holder, ConnectionChoice.NEW);
+            if (gate.maySend() && (urgent || silentHolders.mayTry(holder, this))) call(holder, ConnectionChoice.NEW);
             else retry();
         });
         retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
@@ -154,7 +154,7 @@
 
     /** The holder has answered another release: it runs again. */
     private void onHolderReachable() {
-        if (!ended && gate.isOpen()) call(holder, ConnectionChoice.ANY);
+        if (!ended && gate.maySend()) call(holder, ConnectionChoice.ANY);
     }
 
     private void call(InetSocketAddress engine, ConnectionChoice connection) {
@@ -169,12 +169,12 @@
     /** Asks on a new connection, and other engines, for as long as nobody has answered. */
     private void askAnew() {
         if (answered || ended) return;
-        if (gate.isOpen()) {
+        if (gate.maySend()) {
             if (!askedAnew) call(holder, ConnectionChoice.NEW);
             askedAnew = true;
             askOthers();
         }
-        loop.at(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
     }
 
     /** Each in turn; where all have failed, from the first again, but no more at once than a few. */
@@ -186,7 +186,7 @@
     /** A call could not be made or its connection broke: its engine is no use for now. */
     private void onFailed(InetSocketAddress engine) {
         if (engine.equals(holder)) retry();
-        if (!answered && !ended && gate.isOpen()) askOthers();
+        if (!answered && !ended && gate.maySend()) askOthers();
     }
 
     private void onAnswer(InetSocketAddress engine) {
@@ -195,9 +195,9 @@
         if (first) logFirstAnswer(engine);
         boolean byHolder = engine.equals(holder);
         if (byHolder) holderAnswered = true;
-        if (first) gate.onAnswered();
+        if (first) gate.onReleased();
         if (!byHolder) return;
-        gate.onHolderAnswered();
+        gate.onHolderResponded();
         List<StateRelease> waiting = silentHolders.onAnswered(holder);
         end();
         waiting.forEach(StateRelease::onHolderReachable);
@@ -217,14 +217,14 @@
         void start(ConnectionChoice connection) {
             var request = Requests.to(engine, Methods.DELETE, "/internal/reservations/" + requestId);
             call = pool.start(engine, request, new byte[0], this, connection);
-            silence = loop.at(loop.nowMs() + SILENT_MS, this::onSilence);
+            silence = loop.schedule(loop.nowMs() + SILENT_MS, this::onSilence);
         }
 
         private void onSilence() {
             if (over) return;
             // One that still waits for a connection keeps its place; the pool says so when it has none in time.
             if (call.unsent()) {
-                silence = loop.at(loop.nowMs() + SILENT_MS, this::onSilence);
+                silence = loop.schedule(loop.nowMs() + SILENT_MS, this::onSilence);
                 return;
             }
             LOG.debug("release not answered request={} engine={}", requestId, engine);
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -19,7 +19,7 @@
 import maplerail.core.ConnectionChoice;
 import maplerail.core.EngineTransport;
 import maplerail.core.InferenceRequest;
-import maplerail.core.ReleaseGate;
+import maplerail.core.ReleaseControl;
 import maplerail.routing.AttemptOutcome;
 
 /** Attempts at tool servers: one HTTP POST each, whose reply counts when it is whole. */
@@ -81,7 +81,7 @@
 
         @Override
         public boolean wanted() {
-            return answer.isWanted();
+            return answer.isNeeded();
         }
 
         @Override
@@ -159,5 +159,5 @@
 
     /** Tool servers hold nothing for a request that has ended. */
     @Override
-    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseGate gate) {}
+    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {}
 }
--- a/src/main/java/maplerail/net/XnioLoop.java
+++ b/src/main/java/maplerail/net/XnioLoop.java
@@ -65,7 +65,7 @@
 
     /** As the interface says; may be called from any thread. */
     @Override
-    public Timer at(double whenMs, Runnable task) {
+    public Timer schedule(double whenMs, Runnable task) {
         if (Thread.currentThread() != thread) {
             PostedTimer posted = new PostedTimer(whenMs, task);
             execute(posted::add);
@@ -89,7 +89,7 @@
         }
 
         void add() {
-            if (!cancelled) timer = at(whenMs, task);
+            if (!cancelled) timer = schedule(whenMs, task);
         }
 
         @Override
--- a/src/main/java/maplerail/server/DrainController.java
+++ b/src/main/java/maplerail/server/DrainController.java
@@ -80,7 +80,7 @@
     /** Begins the shutdown, unless it has begun before; called on the loop. */
     void start() {
         if (!lifecycle.beginShutdown()) return;
-        LOG.info("draining open_requests={}", broker.unansweredRequests());
+        LOG.info("draining open_requests={}", broker.unfinishedRequests());
         if (!lifecycle.isListening()) {
             host.onDrained();
             return;
@@ -90,9 +90,9 @@
         // A request that comes on a kept connection just before the end would be cut off by it.
         host.limitDeadlines(forcedMs - ANSWER_MARGIN_MS);
         host.onDrainBegun();
-        loop.at(loop.nowMs() + ARRIVING_MS, this::finish);
+        loop.schedule(loop.nowMs() + ARRIVING_MS, this::finish);
         host.handOnStreams(forcedMs - NOT_HANDED_ON_MS);
-        if (host.config().wire().resume()) loop.at(forcedMs - BREAK_OFF_MS, () -> beginBreakingOff());
+        if (host.config().wire().resume()) loop.schedule(forcedMs - BREAK_OFF_MS, () -> beginBreakingOff());
     }
 
     private double forcedAfterMs() {
@@ -105,7 +105,7 @@
 
     /** Where another process takes streams, only those that it did not take are broken off. */
     private void beginBreakingOff() {
-        if (host.handsStreamsOn()) loop.at(forcedMs - NOT_HANDED_ON_MS, () -> breakOff(NOT_HANDED_ON_STEPS));
+        if (host.handsStreamsOn()) loop.schedule(forcedMs - NOT_HANDED_ON_MS, () -> breakOff(NOT_HANDED_ON_STEPS));
         else breakOff(BREAK_OFF_STEPS);
     }
 
@@ -115,8 +115,8 @@
      * one may just have started.
      */
     private void breakOff(int steps) {
-        broker.breakOffStreams(1.0 / steps);
-        if (steps > 1) loop.at(loop.nowMs() + BREAK_OFF_STEP_MS, () -> breakOff(steps - 1));
+        broker.abortStreams(1.0 / steps);
+        if (steps > 1) loop.schedule(loop.nowMs() + BREAK_OFF_STEP_MS, () -> breakOff(steps - 1));
     }
 
     private void finish() {
@@ -128,9 +128,9 @@
             return;
         }
         if (loop.nowMs() >= nextReportMs) {
-            LOG.info("draining open_requests={} {}", broker.unansweredRequests(), host.openWork());
+            LOG.info("draining open_requests={} {}", broker.unfinishedRequests(), host.openWork());
             nextReportMs = loop.nowMs() + REPORT_MS;
         }
-        loop.at(loop.nowMs() + POLL_MS, this::finish);
+        loop.schedule(loop.nowMs() + POLL_MS, this::finish);
     }
 }
--- a/src/main/java/maplerail/server/Gateway.java
+++ b/src/main/java/maplerail/server/Gateway.java
@@ -110,7 +110,7 @@
         SplittableRandom advice = new SplittableRandom(settings.seed() ^ ADVICE_SEED);
         admission = new AdmissionStage(AdmissionLimits.ofOpenRequests(wire.maxOpen()), loop, advice);
         drainSchedule = new DrainSchedule(lifecycle.phases(), loop);
-        admission.rejectWhile(drainSchedule::isRefusing);
+        admission.rejectWhile(drainSchedule::isRejecting);
         broker = new Broker(
                 createPolicy(settings),
                 settings,
@@ -234,7 +234,7 @@
             listen();
             return;
         }
-        loop.at(loop.nowMs() + FIRST_LIST_MS, () -> {
+        loop.schedule(loop.nowMs() + FIRST_LIST_MS, () -> {
             if (lifecycle.isListening() || lifecycle.isStopping()) return;
             LOG.warn("discovery is silent: serving by the list in the configuration");
             listen();
@@ -281,7 +281,7 @@
     private StreamMigration createMigration(Path folder) {
         StreamMigration created = new StreamMigration(
                 folder, worker, loop, broker, engines, listener.connections(), metrics, descriptors.adoptedStreams());
-        loop.at(loop.nowMs() + MIGRATION_DELAY_MS, created::listen);
+        loop.schedule(loop.nowMs() + MIGRATION_DELAY_MS, created::listen);
         return created;
     }
 
@@ -344,7 +344,7 @@
     /** Readers of the metrics don't wait for the loop: they see what it published last. */
     private void publishEngines() {
         metrics.engines(broker.listedEngines(), broker.ejectedEngines() + peers.ejectedEngines());
-        loop.at(loop.nowMs() + PUBLISH_MS, this::publishEngines);
+        loop.schedule(loop.nowMs() + PUBLISH_MS, this::publishEngines);
     }
 
     // ---- Operators ----
--- a/src/main/java/maplerail/server/HandoverService.java
+++ b/src/main/java/maplerail/server/HandoverService.java
@@ -60,7 +60,7 @@
                 LOG.info("cached prefixes taken over count={}", cached.size());
                 loop.execute(() -> broker.restoreCachedPrefixes(cached));
             } else if (loop.nowMs() < untilMs) {
-                loop.at(loop.nowMs() + POLL_MS, () -> takeOver(untilMs));
+                loop.schedule(loop.nowMs() + POLL_MS, () -> takeOver(untilMs));
             }
         });
     }
--- a/src/main/java/maplerail/server/LameDuckController.java
+++ b/src/main/java/maplerail/server/LameDuckController.java
@@ -46,8 +46,8 @@
                 whatIsLeft.get());
         if (!on) return;
         double calledMs = loop.nowMs();
-        loop.at(calledMs + GRACE_MS, () -> poll(call));
-        loop.at(calledMs + REPORT_MS, () -> report(call, calledMs));
+        loop.schedule(calledMs + GRACE_MS, () -> poll(call));
+        loop.schedule(calledMs + REPORT_MS, () -> report(call, calledMs));
     }
 
     private boolean isOver(int call) {
@@ -57,13 +57,13 @@
     private void poll(int call) {
         if (isOver(call)) return;
         closeIdleConnections.run();
-        loop.at(loop.nowMs() + POLL_MS, () -> poll(call));
+        loop.schedule(loop.nowMs() + POLL_MS, () -> poll(call));
     }
 
     private void report(int call, double calledMs) {
         double elapsedMs = loop.nowMs() - calledMs;
         if (isOver(call) || elapsedMs > REPORTED_MS) return;
         LOG.info("lame duck elapsed_ms={} {}", Math.round(elapsedMs), whatIsLeft.get());
-        loop.at(loop.nowMs() + REPORT_MS, () -> report(call, calledMs));
+        loop.schedule(loop.nowMs() + REPORT_MS, () -> report(call, calledMs));
     }
 }
--- a/src/main/java/maplerail/server/StreamMigration.java
+++ b/src/main/java/maplerail/server/StreamMigration.java
@@ -162,7 +162,7 @@
                 connected = true;
                 sendBatch(outbox.get(), untilMs);
             } else if (loop.nowMs() < untilMs) {
-                loop.at(loop.nowMs() + RECONNECT_MS, () -> worker.execute(() -> connect(untilMs)));
+                loop.schedule(loop.nowMs() + RECONNECT_MS, () -> worker.execute(() -> connect(untilMs)));
             }
         });
     }
@@ -208,11 +208,12 @@
     /** The process that took streams may have ended, and another one serve on: streams that still run go there. */
     private void reconnect(DescriptorChannel.Sender broken, double untilMs) {
         worker.execute(() -> IoUtils.safeClose(broken));
-        if (loop.nowMs() < untilMs) loop.at(loop.nowMs() + RECONNECT_MS, () -> worker.execute(() -> connect(untilMs)));
+        if (loop.nowMs() < untilMs)
+            loop.schedule(loop.nowMs() + RECONNECT_MS, () -> worker.execute(() -> connect(untilMs)));
     }
 
     private void sendNextBatch(DescriptorChannel.Sender outbox, double untilMs) {
-        loop.at(loop.nowMs() + BATCH_INTERVAL_MS, () -> sendBatch(outbox, untilMs));
+        loop.schedule(loop.nowMs() + BATCH_INTERVAL_MS, () -> sendBatch(outbox, untilMs));
     }
 
     /** Sends streams and collects those that the other process did not take; false once it can't be reached any more. */
--- a/src/main/java/maplerail/server/TierPeerService.java
+++ b/src/main/java/maplerail/server/TierPeerService.java
@@ -78,7 +78,7 @@
     @Override
     public void start() {
         paceGossip.setReaders(broker.readers());
-        loop.at(loop.nowMs() + paceGossip.delayMs(random.nextDouble()), this::gossip);
+        loop.schedule(loop.nowMs() + paceGossip.delayMs(random.nextDouble()), this::gossip);
         listen();
     }
 
@@ -125,16 +125,16 @@
             if (!waitLogged)
                 LOG.info("peer address in use, retrying address={} error={}", peers.listen(), e.getMessage());
             waitLogged = true;
-            loop.at(loop.nowMs() + LISTEN_RETRY_MS, this::listen);
+            loop.schedule(loop.nowMs() + LISTEN_RETRY_MS, this::listen);
         }
     }
 
     private void startDecisions() {
         TierDecisions tier = new TierDecisions(peers, loop.nowMs(), seed);
         decisions = Optional.of(tier);
-        loop.at(tier.probeDueMs(), () -> probe(tier));
+        loop.schedule(tier.probeDueMs(), () -> probe(tier));
         tier.setEngines(view.kindsByEngine());
-        loop.at(loop.nowMs() + OutlierConsensus.PERIOD_MS * random.nextDouble(), () -> compare(tier));
+        loop.schedule(loop.nowMs() + OutlierConsensus.PERIOD_MS * random.nextDouble(), () -> compare(tier));
     }
 
     private void receive(InetSocketAddress from, byte[] bytes, int length) {
@@ -179,14 +179,14 @@
                 TierDecisions.sum(paceGossip.dropped()));
         decisions.ifPresent(tier -> tier.publishMembership(metrics));
         if (stopping.getAsBoolean()) return;
-        loop.at(loop.nowMs() + paceGossip.delayMs(random.nextDouble()), this::gossip);
+        loop.schedule(loop.nowMs() + paceGossip.delayMs(random.nextDouble()), this::gossip);
     }
 
     /** The failure detector's period. */
     private void probe(TierDecisions tier) {
         if (stopping.getAsBoolean()) return;
         send(tier.membership().tick(loop.nowMs()));
-        loop.at(tier.probeDueMs(), () -> probe(tier));
+        loop.schedule(tier.probeDueMs(), () -> probe(tier));
         updateSharing(tier);
     }
 
@@ -199,7 +199,7 @@
             broker.updateEndpoints(update);
         });
         tier.publishOutliers(metrics);
-        loop.at(loop.nowMs() + OutlierConsensus.PERIOD_MS, () -> compare(tier));
+        loop.schedule(loop.nowMs() + OutlierConsensus.PERIOD_MS, () -> compare(tier));
     }
 
     private void updateSharing(TierDecisions tier) {
--- a/src/main/java/maplerail/server/ToolServices.java
+++ b/src/main/java/maplerail/server/ToolServices.java
@@ -56,7 +56,7 @@
         this.pool = new Pool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
         RoutingSettings settings = config.settings(seed);
         AdmissionStage admit = new AdmissionStage(config.budgets(MOST_OPEN), loop, new SplittableRandom(~seed));
-        admit.rejectWhile(drain::isRefusing);
+        admit.rejectWhile(drain::isRejecting);
         for (String name : config.services().keySet()) {
             ToolClient client = new ToolClient(pool);
             clients.put(name, client);
--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -43,7 +43,7 @@
     private final List<RoutingAction> next = new ArrayList<>();
     private final List<Out> out = new ArrayList<>();
     private final List<String> released = new ArrayList<>();
-    private final List<ReleaseGate> gates = new ArrayList<>();
+    private final List<ReleaseControl> gates = new ArrayList<>();
     private final List<ConnectionChoice> connections = new ArrayList<>();
     private boolean answersReleases = true;
     private final List<String> wire = new ArrayList<>();
@@ -56,7 +56,7 @@
     private Object client; // what the caller gives up of itself, if it can
     private final List<RoutingAction> atEnd =
             new ArrayList<>(); // what the module orders when it hears an attempt ended
-    private final List<Consumer<PlaceAnswer>> placeAnswers = new ArrayList<>();
+    private final List<Consumer<ReservePlaceResult>> placeAnswers = new ArrayList<>();
     private Broker broker;
     private RequestHandle inheritedTicket;
 
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public Timer at(double whenMs, Runnable task) {
+        public Timer schedule(double whenMs, Runnable task) {
             Due one = new Due(whenMs, task);
             due.add(one);
             return () -> due.remove(one);
@@ -186,18 +186,18 @@
 
             @Override
             public void reservePlace(
-                    long engine, String id, ConnectionChoice connection, Consumer<PlaceAnswer> onAnswer) {
+                    long engine, String id, ConnectionChoice connection, Consumer<ReservePlaceResult> onAnswer) {
                 placeAnswers.add(onAnswer);
             }
 
             @Override
-            public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseGate gate) {
+            public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {
                 released.add(engine + "/" + id);
                 gates.add(gate);
                 wire.add("release");
                 if (!answersReleases) return;
-                gate.onAnswered();
-                gate.onHolderAnswered();
+                gate.onReleased();
+                gate.onHolderResponded();
                 gate.onEnded(true);
             }
         };
@@ -288,7 +288,7 @@
         Consumer<BrokerTest> reset = t -> t.out.get(0).answer.onEnded(AttemptOutcome.RESET, 0);
         Consumer<BrokerTest> gone = t -> t.inheritedTicket.onClientDisconnected();
         Consumer<BrokerTest> silence = t -> t.loop.until(t.loop.now + 3_000);
-        Consumer<BrokerTest> left = t -> t.broker.breakOffStreams(1);
+        Consumer<BrokerTest> left = t -> t.broker.abortStreams(1);
         Consumer<BrokerTest> on = t -> assertThat(t.broker.detachStreams(1)).hasSize(1);
         return Stream.of(
                 Arguments.of("served", served, "end", 1, 0),
@@ -311,7 +311,7 @@
         });
         loop.until(loop.now + 2_900);
         out.get(0).answer.onEvent(new byte[1]);
-        assertThat(broker.unansweredRequests()).isEqualTo(1);
+        assertThat(broker.unfinishedRequests()).isEqualTo(1);
         end.accept(this);
         out.get(0).answer.onEvent(new byte[1]);
         out.get(0).answer.onEnded(AttemptOutcome.RESET, 0);
@@ -338,7 +338,7 @@
 
     private RequestHandle take(String id, boolean again, RoutingAction... actions) {
         next.addAll(List.of(actions));
-        return broker.take(
+        return broker.submit(
                 new InferenceRequest(id, 0, 0, 0, 10, 0, 0, 5_000, 10, 0, again, 10, new RequestPayload() {}),
                 caller());
     }
@@ -502,7 +502,7 @@
         act(send(READER));
         unsent = true;
         loop.until(1_000 + afterMs);
-        assertThat(out.get(1).answer.isWanted()).isEqualTo(written);
+        assertThat(out.get(1).answer.isNeeded()).isEqualTo(written);
         assertThat(out.get(1).aborted).isNotEqualTo(written);
         assertThat(outcomes()).isEqualTo(written ? List.of() : List.of(AttemptOutcome.NOT_SENT));
     }
@@ -513,7 +513,7 @@
         out.get(0).answer.onEvent(new byte[1]);
         out.get(0).come = () -> out.get(0).answer.onEnded(AttemptOutcome.COMPLETED, 0);
         loop.arrivals = out.get(0)::handleArrivals;
-        loop.at(loop.now, () -> broker.breakOffStreams(1));
+        loop.schedule(loop.now, () -> broker.abortStreams(1));
         loop.until(loop.now);
         assertThat(caller).containsExactly("event", "end");
     }
@@ -768,10 +768,10 @@
         act(new CancelAttempt(1, 0), send(READER));
         assertThat(released).containsExactly("1/a");
         assertThat(out).as("it waits for the release").hasSize(1);
-        gates.get(0).onAnswered();
+        gates.get(0).onReleased();
         assertThat(out).hasSize(2);
         assertThat(connections).containsExactly(ConnectionChoice.ANY, ConnectionChoice.NEW);
-        gates.get(0).onHolderAnswered();
+        gates.get(0).onHolderResponded();
         gates.get(0).onEnded(true);
         loop.until(1_800);
         assertThat(released).as("a release would undo the read").hasSize(1);
@@ -784,7 +784,9 @@
         act(new CancelAttempt(1, 0), send(READER));
         loop.until(loop.now + 151);
         assertThat(out).hasSize(2);
-        assertThat(gates.get(0).isOpen()).as("while the next read is in flight").isFalse();
+        assertThat(gates.get(0).maySend())
+                .as("while the next read is in flight")
+                .isFalse();
     }
 
     /** Written is not arrived, and an answer may be lost: what a read that should have ended may hold is released. */
@@ -850,7 +852,7 @@
         next.add(new RoutingAction.ReservePlace(1, WRITER));
         loop.until(loop.now + 900);
         assertThat(placeAnswers).hasSize(1);
-        placeAnswers.get(0).accept(PlaceAnswer.NOT_HELD);
+        placeAnswers.get(0).accept(ReservePlaceResult.NOT_RESERVED);
         loop.until(loop.now + 290);
         assertThat(told).doesNotContain(new RoutingEvent.ReadOverdue(2, 0));
         assertThat(out.get(1).aborted).isFalse();
@@ -860,7 +862,7 @@
     @Test
     void aReadIsGivenUpOnceAWriterSaysThatItIsNotInFlight() {
         takeUnheardRead();
-        placeAnswers.get(0).accept(PlaceAnswer.NO_READ);
+        placeAnswers.get(0).accept(ReservePlaceResult.NO_READ_IN_FLIGHT);
         loop.until(loop.now + 31);
         assertThat(out.get(0).aborted).isTrue();
         assertThat(released).containsExactly("1/a");
@@ -870,12 +872,12 @@
     @Test
     void aReadThatAWriterKnowsToBeInFlightIsWaitedForAndAskedAboutAgain() {
         takeUnheardRead();
-        placeAnswers.get(0).accept(PlaceAnswer.HELD);
+        placeAnswers.get(0).accept(ReservePlaceResult.RESERVED);
         assertThat(told).contains(new RoutingEvent.PlaceReserved(1, WRITER));
         next.add(new RoutingAction.ReservePlace(1, WRITER));
         loop.until(loop.now + 310);
         assertThat(placeAnswers).hasSize(2);
-        placeAnswers.get(1).accept(PlaceAnswer.NOT_HELD);
+        placeAnswers.get(1).accept(ReservePlaceResult.NOT_RESERVED);
         loop.until(loop.now + 2_000);
         assertThat(out.get(0).aborted).isFalse();
         assertThat(released).isEmpty();
@@ -885,7 +887,7 @@
     @Test
     void anAnswerRightBehindTheWordOfAWriterCounts() {
         takeUnheardRead();
-        placeAnswers.get(0).accept(PlaceAnswer.NO_READ);
+        placeAnswers.get(0).accept(ReservePlaceResult.NO_READ_IN_FLIGHT);
         next.add(send(WRITER));
         out.get(0).answer.onEnded(AttemptOutcome.PROMPT_READ, 0);
         loop.until(loop.now + 100);
@@ -899,7 +901,7 @@
         takeUnheardRead();
         out.get(0).answer.onEnded(AttemptOutcome.OVERLOADED, 0);
         assertThat(released).as("a place may be held").containsExactly("1/a");
-        placeAnswers.get(0).accept(PlaceAnswer.HELD);
+        placeAnswers.get(0).accept(ReservePlaceResult.RESERVED);
         assertThat(released).containsExactly("1/a", "2/a");
     }
 
@@ -909,12 +911,12 @@
         answersReleases = false;
         RequestHandle ticket = take("a", send(READER));
         ticket.onClientDisconnected();
-        gates.get(0).onAnswered(); // by another engine
+        gates.get(0).onReleased(); // by another engine
         loop.until(loop.now + 10_000);
         assertThat(broker.pendingReleases()).isEqualTo(1);
-        assertThat(gates.get(0).isOpen()).isTrue();
+        assertThat(gates.get(0).maySend()).isTrue();
         answersReleases = true;
-        gates.get(0).onHolderAnswered();
+        gates.get(0).onHolderResponded();
         gates.get(0).onEnded(true);
         loop.until(loop.now + 1_599);
         assertThat(released).as("it may end the read after it answered").hasSize(5);
@@ -975,7 +977,7 @@
         act(new RejectRequest(1, 250));
         take("a");
         assertThat(caller).endsWith("refuse OVERLOAD 250");
-        assertThat(broker.unansweredRequests()).isEqualTo(3);
+        assertThat(broker.unfinishedRequests()).isEqualTo(3);
     }
 
     @Test
--- a/src/test/java/maplerail/front/ConnectionManagerTest.java
+++ b/src/test/java/maplerail/front/ConnectionManagerTest.java
@@ -221,7 +221,7 @@
                 }
 
                 @Override
-                public Timer at(double whenMs, Runnable task) {
+                public Timer schedule(double whenMs, Runnable task) {
                     due.add(task);
                     return () -> due.remove(task);
                 }
@@ -253,6 +253,6 @@
     private static void step(XnioLoop loop, AtomicInteger came, AtomicInteger most, int before) {
         int now = came.get();
         most.accumulateAndGet(now - before, Math::max);
-        if (now < 100) loop.at(loop.nowMs() + 1, () -> step(loop, came, most, now));
+        if (now < 100) loop.schedule(loop.nowMs() + 1, () -> step(loop, came, most, now));
     }
 }
--- a/src/test/java/maplerail/net/PoolTest.java
+++ b/src/test/java/maplerail/net/PoolTest.java
@@ -22,7 +22,7 @@
 import maplerail.core.AttemptObserver;
 import maplerail.core.ConnectionChoice;
 import maplerail.core.InferenceRequest;
-import maplerail.core.ReleaseGate;
+import maplerail.core.ReleaseControl;
 import maplerail.metrics.Metrics;
 import maplerail.routing.AttemptOutcome;
 import maplerail.routing.Endpoint;
@@ -37,14 +37,14 @@
 import org.xnio.XnioWorker;
 
 class PoolTest {
-    private static final ReleaseGate ALWAYS = new ReleaseGate() {
+    private static final ReleaseControl ALWAYS = new ReleaseControl() {
         @Override
-        public boolean isOpen() {
+        public boolean maySend() {
             return true;
         }
 
         @Override
-        public boolean isSuspect(long engine) {
+        public boolean isUnresponsive(long engine) {
             return false;
         }
     };
@@ -308,7 +308,7 @@
                 pool.beforeUse(() -> call[0].abort());
                 call[0] = pool.start(
                         server.socketAddress(), request(server.socketAddress()), new byte[0], new Heard(heard));
-                loop.at(loop.nowMs() + 1, () -> awaitIdle(pool, server));
+                loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
             });
             assertThat(take(heard)).isEqualTo("idle");
             assertThat(server.seen).isEmpty();
@@ -317,7 +317,7 @@
 
     private void awaitIdle(Pool pool, StandIn server) {
         if (pool.idleSinceMs(server.socketAddress()) > 0) heard.add("idle");
-        else loop.at(loop.nowMs() + 1, () -> awaitIdle(pool, server));
+        else loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
     }
 
     /** Any number of engines may hang together: one that answered lately is told before others, and all in time. */
@@ -363,7 +363,7 @@
                 client.release(1, Set.of(1L, 2L), "a1", loop.nowMs() + 500, ALWAYS);
                 double from = loop.nowMs();
                 while (own.count("DELETE") == 0 || loop.nowMs() < from + 250) Thread.onSpinWait(); // the loop is behind
-                loop.at(loop.nowMs() + 100, () -> heard.add("later"));
+                loop.schedule(loop.nowMs() + 100, () -> heard.add("later"));
             });
             assertThat(take(heard)).isEqualTo("later");
             assertThat(own.count("DELETE")).isEqualTo(1);
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -64,7 +64,7 @@
         try (ServerSocket server = listen()) {
             loop.execute(() -> {
                 connect(server);
-                loop.at(loop.nowMs() + 1, () -> seen.add("timer"));
+                loop.schedule(loop.nowMs() + 1, () -> seen.add("timer"));
                 sleep(LATE_MS);
             });
             assertThat(take(seen)).isEqualTo("connected");
@@ -86,16 +86,16 @@
 
     private void repeat(int times) {
         sleep(2);
-        if (times > 0 && seen.isEmpty()) loop.at(loop.nowMs() - 1, () -> repeat(times - 1));
+        if (times > 0 && seen.isEmpty()) loop.schedule(loop.nowMs() - 1, () -> repeat(times - 1));
     }
 
     /** Guards against many timers at once that keep the loop from its sockets until all have run. */
     @Test
     void manyTimersAtOnceLetTheSocketsBeSeenBetweenThem() throws Exception {
         try (ServerSocket server = listen()) {
-            loop.execute(() -> loop.at(loop.nowMs(), () -> {
+            loop.execute(() -> loop.schedule(loop.nowMs(), () -> {
                 for (int i = 0; i < TIMERS; i++) {
-                    loop.at(loop.nowMs(), () -> {
+                    loop.schedule(loop.nowMs(), () -> {
                         sleep(2);
                         seen.add("timer");
                     });
@@ -111,11 +111,11 @@
     @Test
     void timersRunInOrderAndNotBeforeTheirTimeAndNotOnceCancelled() throws Exception {
         double startMs = loop.nowMs();
-        loop.at(startMs + 30, () -> seen.add("30 at " + (loop.nowMs() >= startMs + 30)));
-        loop.at(startMs + 10, () -> seen.add("10 at " + (loop.nowMs() >= startMs + 10)));
-        EventLoop.Timer cancelled = loop.at(startMs + 20, () -> seen.add("20"));
+        loop.schedule(startMs + 30, () -> seen.add("30 at " + (loop.nowMs() >= startMs + 30)));
+        loop.schedule(startMs + 10, () -> seen.add("10 at " + (loop.nowMs() >= startMs + 10)));
+        EventLoop.Timer cancelled = loop.schedule(startMs + 20, () -> seen.add("20"));
         cancelled.cancel();
-        loop.at(startMs + 10, () -> seen.add("second of 10"));
+        loop.schedule(startMs + 10, () -> seen.add("second of 10"));
         assertThat(take(seen)).isEqualTo("10 at true");
         assertThat(take(seen)).isEqualTo("second of 10");
         assertThat(take(seen)).isEqualTo("30 at true");
@@ -125,10 +125,10 @@
     @Test
     void aTimerThatFailsEndsNoOther() throws Exception {
         loop.execute(() -> {
-            loop.at(loop.nowMs(), () -> {
+            loop.schedule(loop.nowMs(), () -> {
                 throw new IllegalStateException("wanted by the test");
             });
-            loop.at(loop.nowMs(), () -> seen.add("next"));
+            loop.schedule(loop.nowMs(), () -> seen.add("next"));
         });
         assertThat(take(seen)).isEqualTo("next");
     }
