--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -9,9 +9,9 @@
 import maplerail.config.ConfigException;
 import maplerail.config.Tree;
 import maplerail.net.Call;
+import maplerail.net.HttpRequests;
 import maplerail.net.Pool;
-import maplerail.net.Requests;
-import maplerail.net.TextReply;
+import maplerail.net.TextResponseHandler;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -74,9 +74,9 @@
         boolean blocks = !shortPolling && index > 0;
         String target = path + (blocks ? "?index=" + index + "&wait=" + WAIT_S + "s" : "");
         Response response = new Response(ownTurn);
-        Call call = pool.start(address, Requests.to(address, Methods.GET, target), new byte[0], response);
+        Call call = pool.start(address, HttpRequests.create(address, Methods.GET, target), new byte[0], response);
         double timeoutMs = blocks ? BLOCKING_TIMEOUT_MS : SHORT_TIMEOUT_MS;
-        loop.schedule(loop.nowMs() + timeoutMs, () -> response.expire(call));
+        loop.schedule(loop.nowMs() + timeoutMs, () -> response.abortOnTimeout(call));
         if (!blocks) loop.schedule(loop.nowMs() + REPEAT_MS, () -> pollInTurn(ownTurn));
     }
 
@@ -99,7 +99,7 @@
         return received < last ? 0 : received;
     }
 
-    private final class Response extends TextReply {
+    private final class Response extends TextResponseHandler {
         private final InetSocketAddress asked = address;
         private final int ownTurn;
 
@@ -108,7 +108,7 @@
         }
 
         @Override
-        protected boolean whole(int status, HeaderMap headers, String text) {
+        protected boolean handleResponse(int status, HeaderMap headers, String text) {
             if (!asked.equals(address)) return true;
             try {
                 if (status != OK) throw new ConfigException("status " + status);
@@ -137,7 +137,7 @@
         }
 
         @Override
-        protected void none() {
+        protected void onNoResponse() {
             if (ownTurn != turn) return; // the other address has its own call in flight, or this one a later one
             shortPolling = true;
             pollLater(backoff.next(0));
--- a/src/main/java/maplerail/discovery/PlatformDiscovery.java
+++ b/src/main/java/maplerail/discovery/PlatformDiscovery.java
@@ -15,9 +15,9 @@
 import maplerail.discovery.PollSchedule.Answer;
 import maplerail.discovery.PollSchedule.Poll;
 import maplerail.net.Call;
+import maplerail.net.HttpRequests;
 import maplerail.net.Pool;
-import maplerail.net.Requests;
-import maplerail.net.TextReply;
+import maplerail.net.TextResponseHandler;
 import maplerail.net.XnioLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -90,7 +90,7 @@
 
     /** Takes in an answer that has arrived, before the event loop gets to it. */
     public void refresh() {
-        latestCall.ifPresent(Call::poll);
+        latestCall.ifPresent(Call::readAvailable);
     }
 
     private void poll() {
@@ -123,7 +123,7 @@
         return header != null && SECONDS.matcher(header).matches() ? Double.parseDouble(header) * MS_PER_S : 0;
     }
 
-    private final class Response extends TextReply {
+    private final class Response extends TextResponseHandler {
         private final InetSocketAddress asked = address;
         private final double sentMs = loop.nowMs();
         private final int ownTurn;
@@ -134,14 +134,15 @@
         }
 
         void request(Poll poll) {
-            Call call = pool.start(address, Requests.to(address, Methods.GET, poll.target()), new byte[0], this);
+            Call call =
+                    pool.start(address, HttpRequests.create(address, Methods.GET, poll.target()), new byte[0], this);
             latestCall = Optional.of(call);
             // The connection to an agent that was cut off would stay open and silent.
-            loop.schedule(loop.nowMs() + poll.timeoutMs(), () -> expire(call));
+            loop.schedule(loop.nowMs() + poll.timeoutMs(), () -> abortOnTimeout(call));
         }
 
         @Override
-        protected boolean whole(int status, HeaderMap headers, String text) {
+        protected boolean handleResponse(int status, HeaderMap headers, String text) {
             if (status != OK) {
                 // No capacity, or down: what is known stays true, and so does its version.
                 LOG.warn("discovery failed status={}", status);
@@ -195,7 +196,7 @@
         }
 
         @Override
-        protected void none() {
+        protected void onNoResponse() {
             if (ownTurn != turn) return; // the other address has its own call in flight, or this one a later one
             pollLater(Double.isNaN(retryMs) ? schedule.onFailed() : retryMs);
         }
--- a/src/main/java/maplerail/front/jsonrpc/AnswerCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/AnswerCaller.java
@@ -11,7 +11,7 @@
     @Override
     public boolean onEvent(byte[] events) {
         boolean ready = true;
-        for (String data : EventSplitter.data(events)) ready = pending.notify(data);
+        for (String data : EventSplitter.extractData(events)) ready = pending.notify(data);
         return ready;
     }
 
--- a/src/main/java/maplerail/front/jsonrpc/Answers.java
+++ b/src/main/java/maplerail/front/jsonrpc/Answers.java
@@ -16,7 +16,7 @@
 import maplerail.core.Broker;
 import maplerail.core.InferenceRequest;
 import maplerail.core.RequestHandle;
-import maplerail.net.HttpCargo;
+import maplerail.net.HttpRequestPayload;
 
 /** The method answers/stream: a completion from the platform's engines, by the platform's own broker. */
 final class Answers {
@@ -70,7 +70,7 @@
                 0,
                 false,
                 body.length,
-                new HttpCargo(io.undertow.util.Methods.POST, "/v1/chat/completions", headers, body));
+                new HttpRequestPayload(io.undertow.util.Methods.POST, "/v1/chat/completions", headers, body));
         return broker.submit(ask, new AnswerCaller(pending));
     }
 
--- a/src/main/java/maplerail/front/jsonrpc/EventStream.java
+++ b/src/main/java/maplerail/front/jsonrpc/EventStream.java
@@ -8,7 +8,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import maplerail.front.DisconnectDetector;
-import maplerail.rpc.Replay;
+import maplerail.rpc.ReplayBuffer;
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSinkChannel;
 
@@ -23,7 +23,7 @@
     private static final int DEAD_BYTES = 1024 * 1024; // not taken by the client: its connection is given up
 
     private final long number;
-    private final Replay replay;
+    private final ReplayBuffer replay;
     private final Runnable goOn;
     private final Runnable lost;
     private String early;
@@ -33,9 +33,9 @@
     private Out out;
 
     /** {@code goOn}: a slow client has caught up; {@code lost}: its connection has ended before the answer. */
-    EventStream(long number, Replay.Budget budget, Runnable goOn, Runnable lost) {
+    EventStream(long number, ReplayBuffer.Budget budget, Runnable goOn, Runnable lost) {
         this.number = number;
-        this.replay = new Replay(MOST_MESSAGES, MOST_CHARS, budget);
+        this.replay = new ReplayBuffer(MOST_MESSAGES, MOST_CHARS, budget);
         this.goOn = goOn;
         this.lost = lost;
     }
@@ -62,19 +62,19 @@
         if (owed == 0) {
             finished = true;
             exchange.setStatusCode(202).endExchange();
-        } else if (early != null && replay.last() == 0) {
+        } else if (early != null && replay.lastNumber() == 0) {
             say(exchange, early);
         } else if (!events) {
             json = true;
             out = new Out(exchange);
         } else {
-            stream(exchange, replay.after(0));
+            stream(exchange, replay.messagesAfter(0));
         }
     }
 
     /** Goes on for a client that has seen all up to a number; false if what followed is no longer kept. */
     boolean resume(HttpServerExchange exchange, long seen) {
-        List<Replay.Message> missed = json || !begun ? null : replay.after(seen);
+        List<ReplayBuffer.Message> missed = json || !begun ? null : replay.messagesAfter(seen);
         if (missed == null) return false;
         // The connection that it had may not have ended yet: a message must not go to both.
         if (out != null) out.close();
@@ -82,7 +82,7 @@
         return true;
     }
 
-    private void stream(HttpServerExchange exchange, List<Replay.Message> first) {
+    private void stream(HttpServerExchange exchange, List<ReplayBuffer.Message> first) {
         exchange.setStatusCode(200);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
         exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-cache");
@@ -93,7 +93,7 @@
         if (finished) out.end();
     }
 
-    private String frame(Replay.Message message) {
+    private String frame(ReplayBuffer.Message message) {
         return "id: " + number + "-" + message.number() + "\ndata: "
                 + message.text().replace("\n", "\ndata: ") + "\n\n";
     }
@@ -106,14 +106,14 @@
     @Override
     public void event(String message) {
         if (json) return; // this client takes no events
-        Replay.Message kept = replay.add(message);
+        ReplayBuffer.Message kept = replay.add(message);
         if (out != null) out.write(frame(kept));
     }
 
     @Override
     public void answer(String message) {
         finished = true;
-        if (!begun && replay.last() == 0) {
+        if (!begun && replay.lastNumber() == 0) {
             early = message;
         } else if (json) {
             if (out != null) out.reply(message);
--- a/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
+++ b/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
@@ -20,7 +20,7 @@
 import maplerail.core.EventLoop;
 import maplerail.front.ConnectionManager;
 import maplerail.front.DisconnectDetector;
-import maplerail.rpc.Replay;
+import maplerail.rpc.ReplayBuffer;
 import maplerail.rpc.SessionState;
 import org.xnio.IoUtils;
 
@@ -41,7 +41,7 @@
     private final Session.Methods methods;
     private final EventLoop loop;
     private final int mostBytes;
-    private final Replay.Budget budget = new Replay.Budget(MOST_KEPT);
+    private final ReplayBuffer.Budget budget = new ReplayBuffer.Budget(MOST_KEPT);
     private final Map<String, Kept> sessions = new LinkedHashMap<>();
     private final List<Kept> bare = new ArrayList<>();
     private boolean sweeping;
@@ -249,6 +249,6 @@
 
     /** Sessions, and the characters that their streams keep. */
     int[] held() {
-        return new int[] {sessions.size() + bare.size(), budget.chars()};
+        return new int[] {sessions.size() + bare.size(), budget.usedChars()};
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -8,7 +8,7 @@
 import maplerail.config.Tree;
 import maplerail.core.RequestHandle;
 import maplerail.core.ResponseObserver;
-import maplerail.rpc.Batch;
+import maplerail.rpc.BatchResponse;
 import maplerail.rpc.SessionState;
 
 /** One client's session, whatever carries it: answers that stream and tool calls, side by side. */
@@ -53,7 +53,7 @@
                             : RpcError.INVALID.answer("null", "a batch of 1 to " + MOST_BATCH + " messages", ""));
             return 1;
         }
-        Batch batch = new Batch(to::answer);
+        BatchResponse batch = new BatchResponse(to::answer);
         Sink gathering = new Sink() {
             @Override
             public void event(String message) {
@@ -62,7 +62,7 @@
 
             @Override
             public void answer(String message) {
-                batch.answer(message);
+                batch.addResponse(message);
             }
 
             @Override
@@ -75,7 +75,7 @@
                 to.look();
             }
         };
-        for (String message : messages) batch.expect(one(message, gathering));
+        for (String message : messages) batch.expectResponses(one(message, gathering));
         return batch.seal();
     }
 
@@ -90,7 +90,7 @@
         if (message.reply()) return 0; // to a call that nobody here made
         if (message.id() == null) {
             if (message.method().equals("notifications/cancelled")) cancel(message);
-            if (message.method().equals("notifications/initialized")) state.initialized();
+            if (message.method().equals("notifications/initialized")) state.onInitialized();
             return 0; // any other notification asks for no answer either
         }
         request(message, to);
@@ -104,7 +104,7 @@
             return;
         }
         if (!methods.open()) state.drain();
-        switch (state.request(message.method())) {
+        switch (state.decide(message.method())) {
             case TAKE -> take(message, to);
             case TOO_EARLY -> to.answer(RpcError.INVALID.answer(message.id(), "the session is not initialized", ""));
             case TWICE -> to.answer(RpcError.INVALID.answer(message.id(), "the session is initialized already", ""));
--- a/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolCaller.java
@@ -7,20 +7,20 @@
 import maplerail.config.Json;
 import maplerail.config.Tree;
 import maplerail.core.EventLoop;
-import maplerail.rpc.Progress;
+import maplerail.rpc.ProgressTracker;
 
 /**
  * Waits for a tool server's reply and passes its result or error on to the letter; on the way it passes on the progress
  * that the server tells, under the client's own token.
  */
 final class ToolCaller extends RpcCaller {
-    private final Progress progress;
+    private final ProgressTracker progress;
     private final String clientToken;
     private final EventLoop loop;
     private EventLoop.Timer limit;
 
     /** {@code clientToken} is the text of the token under which the client wants to hear of progress, null for none. */
-    ToolCaller(Session.Pending pending, Progress progress, String clientToken, EventLoop loop) {
+    ToolCaller(Session.Pending pending, ProgressTracker progress, String clientToken, EventLoop loop) {
         super(pending);
         this.progress = progress;
         this.clientToken = clientToken;
@@ -30,7 +30,7 @@
     @Override
     public boolean onEvent(byte[] event) {
         // The first event ends the deadline that the broker keeps: from here on the contract's most counts.
-        if (limit == null) limit = loop.schedule(loop.nowMs() + progress.leftMs(loop.nowMs()), pending::expire);
+        if (limit == null) limit = loop.schedule(loop.nowMs() + progress.remainingMs(loop.nowMs()), pending::expire);
         String text = new String(event, StandardCharsets.UTF_8);
         Map<String, String> fields = Json.fields(text);
         if (fields != null && fields.containsKey("method")) return step(fields);
@@ -51,7 +51,7 @@
         if (params == null) return true;
         try {
             Tree told = Tree.object("params", fields.get("params"));
-            if (!progress.step(
+            if (!progress.accept(
                     told.at("progressToken").text(""), told.at("progress").number(Double.NaN))) return true;
         } catch (ConfigException e) {
             return true; // it is told of nothing that could be passed on
@@ -66,7 +66,7 @@
 
     /** The final answer, at once: whatever the server's stream goes on to say is not waited for. */
     private void close(String answer) {
-        progress.end();
+        progress.complete();
         if (limit != null) limit.cancel();
         pending.finish(answer);
     }
@@ -78,7 +78,7 @@
 
     @Override
     public void onBroken() {
-        progress.end();
+        progress.complete();
         if (limit != null) limit.cancel();
         pending.finish(Reason.ENGINE, false, 0);
     }
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/Tools.java
@@ -13,9 +13,9 @@
 import maplerail.core.EventLoop;
 import maplerail.core.InferenceRequest;
 import maplerail.core.RequestHandle;
-import maplerail.net.ToolCargo;
-import maplerail.rpc.Pages;
-import maplerail.rpc.Progress;
+import maplerail.net.ToolCallPayload;
+import maplerail.rpc.Pagination;
+import maplerail.rpc.ProgressTracker;
 
 /** The methods tools/call and tools/list: calls go to the broker of the tool's service. */
 final class Tools {
@@ -64,7 +64,7 @@
                 0,
                 false,
                 size,
-                new ToolCargo(
+                new ToolCallPayload(
                         config.services().get(tool.service()).path(),
                         body,
                         contract.mostReply(),
@@ -73,7 +73,10 @@
                 .submit(
                         ask,
                         new ToolCaller(
-                                pending, new Progress(id, loop.nowMs(), contract.mostDeadlineMs()), token, loop));
+                                pending,
+                                new ProgressTracker(id, loop.nowMs(), contract.mostDeadlineMs()),
+                                token,
+                                loop));
     }
 
     /** The text of the token that the client wants to hear of progress under; null for none. */
@@ -88,7 +91,7 @@
 
     String list(RpcMessage message) {
         Tree cursor = Session.params(message).at("cursor");
-        Pages.Page page = Pages.of(tools, cursor.present() ? cursor.text() : null, config.pageSize());
+        Pagination.Page page = Pagination.page(tools, cursor.present() ? cursor.text() : null, config.pageSize());
         if (page == null) throw new ConfigException("params.cursor: was never given");
         return page.names().stream()
                 .map(name -> "{\"name\":" + Json.quote(name) + ",\"contract\":"
@@ -99,6 +102,7 @@
                 .collect(Collectors.joining(
                         ",",
                         "{\"tools\":[",
-                        "]" + (page.next() == null ? "" : ",\"nextCursor\":" + Json.quote(page.next())) + "}"));
+                        "]" + (page.nextCursor() == null ? "" : ",\"nextCursor\":" + Json.quote(page.nextCursor()))
+                                + "}"));
     }
 }
--- a/src/main/java/maplerail/front/platform/RequestReader.java
+++ b/src/main/java/maplerail/front/platform/RequestReader.java
@@ -13,7 +13,7 @@
 import maplerail.config.EngineIds;
 import maplerail.config.Names;
 import maplerail.core.InferenceRequest;
-import maplerail.net.HttpCargo;
+import maplerail.net.HttpRequestPayload;
 
 /** Turns a client's headers and body into an {@link InferenceRequest}; says what is wrong with one that it can't be made of. */
 final class RequestReader {
@@ -73,7 +73,7 @@
                 hint == null ? 0 : number(hint, "Req-Cost", MOST_S * 1_000),
                 again,
                 body.length,
-                new HttpCargo(exchange.getRequestMethod(), target(exchange), headers(exchange), body));
+                new HttpRequestPayload(exchange.getRequestMethod(), target(exchange), headers(exchange), body));
     }
 
     private static String target(HttpServerExchange exchange) {
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -105,7 +105,7 @@
     }
 
     /** Gives the connection up as it is, between two events; the reply hears nothing more. */
-    public Held handOn() {
+    public DetachedConnection handOn() {
         if (!between()) throw new IllegalStateException("not between two events");
         PooledConnection used = link;
         link = null;
@@ -113,11 +113,11 @@
         used.connection.getSourceChannel().suspendReads();
         used.connection.getSinkChannel().suspendWrites();
         pool.forget(used);
-        return new Held(used.connection, used.to);
+        return new DetachedConnection(used.connection, used.to);
     }
 
     /** A connection in the middle of an answer that nobody reads any more. */
-    public record Held(StreamConnection connection, InetSocketAddress to) {}
+    public record DetachedConnection(StreamConnection connection, InetSocketAddress remoteAddress) {}
 
     /** Stops reading the answer, so that its sender has to wait. */
     public void pause() {
@@ -151,7 +151,7 @@
     }
 
     /** Reads what has come already, without waiting for its turn on the loop. */
-    public void poll() {
+    public void readAvailable() {
         read();
     }
 
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -75,7 +75,7 @@
     }
 
     /** Where engines are; those that left the list last stay known, as something may be held there. */
-    public void hear(EngineList list) {
+    public void updateEngines(EngineList list) {
         if (list.whole()) leave(id -> list.members().stream().noneMatch(member -> member.engine() == id));
         addresses.putAll(list.addresses());
         hosts.putAll(list.hosts());
@@ -116,9 +116,9 @@
     @Override
     public AttemptHandle send(
             long engine, InferenceRequest ask, double untilMs, ConnectionChoice connection, AttemptObserver answer) {
-        HttpCargo cargo = (HttpCargo) ask.payload();
+        HttpRequestPayload cargo = (HttpRequestPayload) ask.payload();
         InetSocketAddress to = address(engine);
-        ClientRequest request = Requests.to(to, cargo.method(), cargo.target());
+        ClientRequest request = HttpRequests.create(to, cargo.method(), cargo.target());
         for (Map.Entry<HttpString, String> header : cargo.headers()) {
             request.getRequestHeaders().add(header.getKey(), header.getValue());
         }
@@ -147,7 +147,7 @@
     }
 
     /** Goes on with an engine's stream that another process began, from between two events. */
-    public AttemptHandle adopt(InetSocketAddress to, StreamConnection connection, AttemptObserver answer) {
+    public AttemptHandle adoptStream(InetSocketAddress to, StreamConnection connection, AttemptObserver answer) {
         Incoming incoming = new Incoming(answer);
         incoming.meaning = AttemptOutcome.COMPLETED;
         incoming.framed = true;
@@ -288,7 +288,7 @@
     }
 
     /** Releases that nobody has taken yet and that still may be. */
-    public int releasing() {
+    public int pendingReleases() {
         return releases.size();
     }
 }
--- a/src/main/java/maplerail/net/EventSplitter.java
+++ b/src/main/java/maplerail/net/EventSplitter.java
@@ -40,7 +40,7 @@
     }
 
     /** The data of each event in a piece of whole ones; events without any are left out. */
-    public static List<String> data(byte[] events) {
+    public static List<String> extractData(byte[] events) {
         List<String> out = new ArrayList<>();
         for (String event : new String(events, StandardCharsets.UTF_8).split("\r?\n\r?\n")) {
             StringBuilder data = new StringBuilder();
--- a/src/main/java/maplerail/net/HttpCargo.java
+++ b/src/main/java/maplerail/net/HttpRequestPayload.java
@@ -6,5 +6,6 @@
 import maplerail.core.RequestPayload;
 
 /** A client's request as it came: what passes on to an engine unchanged. */
-public record HttpCargo(HttpString method, String target, List<Map.Entry<HttpString, String>> headers, byte[] body)
+public record HttpRequestPayload(
+        HttpString method, String target, List<Map.Entry<HttpString, String>> headers, byte[] body)
         implements RequestPayload {}
--- a/src/main/java/maplerail/net/PeerLink.java
+++ b/src/main/java/maplerail/net/PeerDatagramChannel.java
@@ -15,13 +15,13 @@
  * what is sent goes out whole or not at all. It decides nothing and reads nothing into the bytes; a datagram longer than
  * PROTOCOL's 256 bytes is handed on with its length, up to {@link #ROOM}, so that it can be refused and counted.
  */
-public final class PeerLink implements Closeable {
+public final class PeerDatagramChannel implements Closeable {
     /** The most bytes of one datagram that are read; anything longer is cut there and refused on its length. */
     public static final int ROOM = 512;
 
     /** Hears a datagram on the loop: {@code length} bytes of {@code bytes}. */
     public interface Listener {
-        void heard(InetSocketAddress from, byte[] bytes, int length);
+        void onDatagram(InetSocketAddress from, byte[] bytes, int length);
     }
 
     private final MulticastMessageChannel channel;
@@ -29,15 +29,16 @@
     private final Listener listener;
     private long unsent;
 
-    private PeerLink(MulticastMessageChannel channel, Listener listener) {
+    private PeerDatagramChannel(MulticastMessageChannel channel, Listener listener) {
         this.channel = channel;
         this.listener = listener;
     }
 
     /** Listens at {@code at}, the configuration's {@code peer_listen}; datagrams are sent from there too. */
-    public static PeerLink open(XnioWorker worker, InetSocketAddress at, Listener listener) throws IOException {
+    public static PeerDatagramChannel open(XnioWorker worker, InetSocketAddress at, Listener listener)
+            throws IOException {
         MulticastMessageChannel channel = worker.createUdpServer(at, c -> {}, OptionMap.EMPTY);
-        PeerLink link = new PeerLink(channel, listener);
+        PeerDatagramChannel link = new PeerDatagramChannel(channel, listener);
         channel.getReadSetter().set(c -> link.readAll());
         channel.resumeReads();
         return link;
@@ -53,7 +54,7 @@
                 byte[] bytes = new byte[in.position()];
                 in.flip();
                 in.get(bytes);
-                listener.heard(source, bytes, bytes.length);
+                listener.onDatagram(source, bytes, bytes.length);
             }
         } catch (IOException e) {
             // A datagram that can't be read is one that never came: peers are late or silent by nature.
@@ -77,7 +78,7 @@
     }
 
     /** Where it listens. */
-    public InetSocketAddress address() {
+    public InetSocketAddress localAddress() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
--- a/src/main/java/maplerail/net/PlaceCall.java
+++ b/src/main/java/maplerail/net/PlaceCall.java
@@ -36,7 +36,7 @@
     }
 
     void start(ConnectionChoice connection) {
-        ClientRequest request = Requests.to(writer, Methods.POST, "/internal/reservations/" + requestId);
+        ClientRequest request = HttpRequests.create(writer, Methods.POST, "/internal/reservations/" + requestId);
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
         call = pool.start(writer, request, new byte[0], this, connection);
         silence = pool.loop().schedule(pool.loop().nowMs() + ANSWER_MS, this::onSilence);
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/Pool.java
@@ -74,22 +74,22 @@
         this.metrics = metrics;
         this.buffers = buffers;
         this.most = most;
-        retune(connIdleMs, connectTimeoutMs);
+        updateTimeouts(connIdleMs, connectTimeoutMs);
     }
 
     /** For a far side that says nothing that was not asked for: a connection may be used again at once. */
-    public Pool unsettled() {
+    public Pool withoutSettleDelay() {
         settleMs = 0;
         return this;
     }
 
     /** What is done before a call that waited for a connection is written: news may have come that it has to obey. */
-    public void beforeUse(Runnable what) {
+    public void setBeforeUseHook(Runnable what) {
         beforeUse = what;
     }
 
     /** Other times from now on. */
-    public void retune(double connIdleMs, double connectTimeoutMs) {
+    public void updateTimeouts(double connIdleMs, double connectTimeoutMs) {
         retireMs = connIdleMs * RETIRE_SHARE;
         connectMs = connectTimeoutMs;
     }
--- a/src/main/java/maplerail/net/StateRelease.java
+++ b/src/main/java/maplerail/net/StateRelease.java
@@ -215,7 +215,7 @@
         }
 
         void start(ConnectionChoice connection) {
-            var request = Requests.to(engine, Methods.DELETE, "/internal/reservations/" + requestId);
+            var request = HttpRequests.create(engine, Methods.DELETE, "/internal/reservations/" + requestId);
             call = pool.start(engine, request, new byte[0], this, connection);
             silence = loop.schedule(loop.nowMs() + SILENT_MS, this::onSilence);
         }
--- a/src/main/java/maplerail/net/TextReply.java
+++ b/src/main/java/maplerail/net/TextResponseHandler.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A reply that is wanted whole, as text, once; what comes after its end is passed over. */
-public abstract class TextReply implements Reply {
+public abstract class TextResponseHandler implements Reply {
     private static final int MOST = 4 << 20;
 
     private final ByteArrayOutputStream text = new ByteArrayOutputStream();
@@ -15,13 +15,13 @@
     private boolean over;
 
     /** The whole answer; false if it is of no use, which then counts as none. */
-    protected abstract boolean whole(int code, HeaderMap head, String body);
+    protected abstract boolean handleResponse(int code, HeaderMap head, String body);
 
     /** No answer came, or none of use. */
-    protected abstract void none();
+    protected abstract void onNoResponse();
 
     /** Gives up a call that should have been answered by now. */
-    public final void expire(Call call) {
+    public final void abortOnTimeout(Call call) {
         if (over) return;
         call.abort();
         failed(false);
@@ -42,13 +42,13 @@
     public final void end() {
         if (over) return;
         over = true;
-        if (!whole(status, headers, text.toString(StandardCharsets.UTF_8))) none();
+        if (!handleResponse(status, headers, text.toString(StandardCharsets.UTF_8))) onNoResponse();
     }
 
     @Override
     public final void failed(boolean neverSent) {
         if (over) return;
         over = true;
-        none();
+        onNoResponse();
     }
 }
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -42,7 +42,7 @@
     }
 
     /** Where a service's tool servers are: all of them, each time. */
-    public void addresses(Map<Long, InetSocketAddress> news) {
+    public void setAddresses(Map<Long, InetSocketAddress> news) {
         addresses.clear();
         addresses.putAll(news);
     }
@@ -50,15 +50,15 @@
     @Override
     public AttemptHandle send(
             long engine, InferenceRequest ask, double untilMs, ConnectionChoice connection, AttemptObserver answer) {
-        ToolCargo cargo = (ToolCargo) ask.payload();
-        ClientRequest request = Requests.to(addresses.get(engine), Methods.POST, cargo.path());
+        ToolCallPayload cargo = (ToolCallPayload) ask.payload();
+        ClientRequest request = HttpRequests.create(addresses.get(engine), Methods.POST, cargo.path());
         request.getRequestHeaders().put(ID, ask.id());
         double left = Math.max(1, untilMs - loop.nowMs()) / 1_000;
         request.getRequestHeaders().put(DEADLINE, String.format(Locale.ROOT, "%.3f", left));
         request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
         request.getRequestHeaders().put(Headers.ACCEPT, "application/json, text/event-stream");
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, cargo.message().length);
-        Incoming incoming = new Incoming(answer, cargo.mostReply());
+        Incoming incoming = new Incoming(answer, cargo.maxResponseBytes());
         incoming.call = pool.start(addresses.get(engine), request, cargo.message(), incoming, connection);
         return new EngineAttempt(incoming.call, () -> false);
     }
@@ -103,7 +103,8 @@
         public void body(ByteBuffer piece) {
             if (meaning != AttemptOutcome.COMPLETED) return;
             if (streams) {
-                if (!events.feed(piece, whole -> EventSplitter.data(whole).forEach(this::message))) framed = false;
+                if (!events.feed(
+                        piece, whole -> EventSplitter.extractData(whole).forEach(this::message))) framed = false;
                 return;
             }
             if (text.size() + piece.remaining() > most) {
--- a/src/main/java/maplerail/rpc/Batch.java
+++ b/src/main/java/maplerail/rpc/BatchResponse.java
@@ -5,25 +5,25 @@
 import java.util.function.Consumer;
 
 /** Gathers the answers to a batch, which go out together as one array, in whatever order they came. */
-public final class Batch {
+public final class BatchResponse {
     private final Consumer<String> whole;
     private final List<String> answers = new ArrayList<>();
     private int owed;
     private boolean sealed;
 
     /** A batch whose array goes to {@code whole}, once. */
-    public Batch(Consumer<String> whole) {
+    public BatchResponse(Consumer<String> whole) {
         this.whole = whole;
     }
 
     /** Some more answers will come, or have come already. */
-    public void expect(int more) {
+    public void expectResponses(int more) {
         if (sealed) throw new IllegalStateException("sealed");
         owed += more;
     }
 
     /** One of them has come. */
-    public void answer(String text) {
+    public void addResponse(String text) {
         answers.add(text);
         tell();
     }
--- a/src/main/java/maplerail/rpc/Pages.java
+++ b/src/main/java/maplerail/rpc/Pagination.java
@@ -9,14 +9,14 @@
  * A list told in pages. A cursor stands for the last name told, not for a place: what is added or taken away between two
  * pages makes no other entry come twice or not at all.
  */
-public final class Pages {
-    private Pages() {}
+public final class Pagination {
+    private Pagination() {}
 
     /** The entries of a page, and the cursor of the next; null where there is none. */
-    public record Page(List<String> names, String next) {}
+    public record Page(List<String> names, String nextCursor) {}
 
     /** The first page, for a cursor of null, or the one that a cursor stands for; null for a cursor that is none. */
-    public static Page of(NavigableMap<String, ?> all, String cursor, int most) {
+    public static Page page(NavigableMap<String, ?> all, String cursor, int most) {
         String last = cursor == null ? null : name(cursor);
         if (cursor != null && last == null) return null;
         List<String> left = List.copyOf(
--- a/src/main/java/maplerail/rpc/Replay.java
+++ b/src/main/java/maplerail/rpc/ReplayBuffer.java
@@ -7,13 +7,13 @@
  * The last messages of one stream, numbered from 1, for a client that lost its connection and comes again: each is
  * told once and in order, or it is said plainly that some are gone. Bounded by count and by size.
  */
-public final class Replay {
+public final class ReplayBuffer {
     private final int mostMessages;
     private final int mostChars;
     private final Budget budget;
     private final ArrayDeque<Message> kept = new ArrayDeque<>();
-    private long last;
-    private int chars;
+    private long lastNumber;
+    private int bufferedChars;
 
     /** A message and its number. */
     public record Message(long number, String text) {}
@@ -21,7 +21,7 @@
     /** What all streams of a front may keep together, in characters. */
     public static final class Budget {
         private final int mostChars;
-        private int chars;
+        private int usedChars;
 
         /** A budget of so many. */
         public Budget(int mostChars) {
@@ -29,13 +29,13 @@
         }
 
         /** What is kept now. */
-        public int chars() {
-            return chars;
+        public int usedChars() {
+            return usedChars;
         }
     }
 
     /** Keeps at most so many messages and characters, and less while the budget is spent; the newest always. */
-    public Replay(int mostMessages, int mostChars, Budget budget) {
+    public ReplayBuffer(int mostMessages, int mostChars, Budget budget) {
         this.mostMessages = mostMessages;
         this.mostChars = mostChars;
         this.budget = budget;
@@ -43,45 +43,45 @@
 
     /** Keeps a message, and lets go of the oldest for it where there is no room. */
     public Message add(String text) {
-        Message message = new Message(++last, text);
+        Message message = new Message(++lastNumber, text);
         kept.addLast(message);
         count(text.length());
         while (kept.size() > 1
-                && (kept.size() > mostMessages || chars > mostChars || budget.chars > budget.mostChars)) {
+                && (kept.size() > mostMessages || bufferedChars > mostChars || budget.usedChars > budget.mostChars)) {
             count(-kept.pollFirst().text().length());
         }
         return message;
     }
 
     private void count(int more) {
-        chars += more;
-        budget.chars += more;
+        bufferedChars += more;
+        budget.usedChars += more;
     }
 
     /** Lets go of everything: the stream's client will not come again. */
     public void clear() {
         kept.clear();
-        count(-chars);
+        count(-bufferedChars);
     }
 
     /** The number of the newest message; 0 before the first. */
-    public long last() {
-        return last;
+    public long lastNumber() {
+        return lastNumber;
     }
 
     /**
      * What a client has missed that has seen everything up to a number; null if some of it is no longer kept, or if
      * the number was never given.
      */
-    public List<Message> after(long seen) {
-        if (seen < 0 || seen > last) return null;
-        long oldest = kept.isEmpty() ? last + 1 : kept.peekFirst().number();
+    public List<Message> messagesAfter(long seen) {
+        if (seen < 0 || seen > lastNumber) return null;
+        long oldest = kept.isEmpty() ? lastNumber + 1 : kept.peekFirst().number();
         if (seen + 1 < oldest) return null;
         return kept.stream().filter(message -> message.number() > seen).toList();
     }
 
     /** Characters kept. */
-    public int chars() {
-        return chars;
+    public int bufferedChars() {
+        return bufferedChars;
     }
 }
--- a/src/main/java/maplerail/rpc/SessionState.java
+++ b/src/main/java/maplerail/rpc/SessionState.java
@@ -8,7 +8,7 @@
  */
 public final class SessionState {
     /** The versions that are spoken, newest first. */
-    public static final List<String> VERSIONS = List.of("2025-06-18", "2025-03-26", "2024-11-05");
+    public static final List<String> SUPPORTED_VERSIONS = List.of("2025-06-18", "2025-03-26", "2024-11-05");
 
     /** Where a session stands. */
     public enum Phase {
@@ -20,7 +20,7 @@
     }
 
     /** What becomes of a request. */
-    public enum Verdict {
+    public enum Decision {
         TAKE,
         TOO_EARLY,
         TWICE,
@@ -48,17 +48,17 @@
     }
 
     /** Whether a request may be taken now. */
-    public Verdict request(String method) {
-        if (phase == Phase.CLOSED) return Verdict.CLOSED;
-        if (method.equals("ping")) return Verdict.TAKE;
+    public Decision decide(String method) {
+        if (phase == Phase.CLOSED) return Decision.CLOSED;
+        if (method.equals("ping")) return Decision.TAKE;
         if (method.equals("initialize")) {
-            return phase == Phase.NEW ? Verdict.TAKE : phase == Phase.DRAINING ? Verdict.DRAINING : Verdict.TWICE;
+            return phase == Phase.NEW ? Decision.TAKE : phase == Phase.DRAINING ? Decision.DRAINING : Decision.TWICE;
         }
         return switch (phase) {
-            case NEW -> handshake ? Verdict.TOO_EARLY : Verdict.TAKE;
-            case NEGOTIATED -> Verdict.TOO_EARLY;
-            case DRAINING -> Verdict.DRAINING;
-            default -> Verdict.TAKE;
+            case NEW -> handshake ? Decision.TOO_EARLY : Decision.TAKE;
+            case NEGOTIATED -> Decision.TOO_EARLY;
+            case DRAINING -> Decision.DRAINING;
+            default -> Decision.TAKE;
         };
     }
 
@@ -66,12 +66,12 @@
     public String initialize(String asked) {
         if (phase != Phase.NEW) throw new IllegalStateException("initialize in " + phase);
         phase = Phase.NEGOTIATED;
-        version = VERSIONS.contains(asked) ? asked : VERSIONS.get(0);
+        version = SUPPORTED_VERSIONS.contains(asked) ? asked : SUPPORTED_VERSIONS.get(0);
         return version;
     }
 
     /** The client has heard the answer; false if it was not its time to say so, which changes nothing. */
-    public boolean initialized() {
+    public boolean onInitialized() {
         if (phase != Phase.NEGOTIATED) return false;
         phase = Phase.READY;
         return true;
--- a/src/main/java/maplerail/server/Gateway.java
+++ b/src/main/java/maplerail/server/Gateway.java
@@ -104,7 +104,7 @@
         NodeConfig.Wire wire = config.wire();
         descriptors = new DescriptorBudget(wire.sockets(), toolsConfig != null, config.admin() != null);
         enginePool = createPool(wire, descriptors.engines(), metrics);
-        discoveryPool = createPool(wire, descriptors.discovery(), new Metrics()).unsettled();
+        discoveryPool = createPool(wire, descriptors.discovery(), new Metrics()).withoutSettleDelay();
         engines = new EngineClient(enginePool, metrics);
         RoutingSettings settings = config.settings();
         SplittableRandom advice = new SplittableRandom(settings.seed() ^ ADVICE_SEED);
@@ -132,7 +132,7 @@
                 metrics::listRejected);
         broker.setEndpointRefresh(discovery::refresh);
         broker.setEngineNames(engines::describe);
-        enginePool.beforeUse(discovery::refresh);
+        enginePool.setBeforeUseHook(discovery::refresh);
         tools = Optional.ofNullable(toolsConfig).map(this::createTools);
         peers = createPeers(config);
         handover = this.sharedFolder.map(
@@ -214,7 +214,7 @@
     private void startOnLoop() {
         EngineList known = config.known();
         if (known != null) {
-            engines.hear(known);
+            engines.updateEngines(known);
             updateEndpoints(known, EndpointUpdateKind.REMEMBERED);
         }
         discovery.start(known);
@@ -288,7 +288,7 @@
     // ---- What changes while it runs ----
 
     private void onEndpointList(EngineList list) {
-        engines.hear(list);
+        engines.updateEngines(list);
         updateEndpoints(list, list.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA);
         lifecycle.onEndpointsKnown();
         listen();
@@ -308,8 +308,8 @@
             config = next;
             NodeConfig.Wire wire = next.wire();
             admission.changeLimits(AdmissionLimits.ofOpenRequests(wire.maxOpen()));
-            enginePool.retune(wire.connIdleMs(), wire.connectTimeoutMs());
-            discoveryPool.retune(wire.connIdleMs(), wire.connectTimeoutMs());
+            enginePool.updateTimeouts(wire.connIdleMs(), wire.connectTimeoutMs());
+            discoveryPool.updateTimeouts(wire.connIdleMs(), wire.connectTimeoutMs());
             applySettings();
             platform.updateNames(next.names());
             tools.ifPresent(front -> front.front().updateNames(next.names()));
@@ -462,7 +462,7 @@
 
         @Override
         public boolean hasOpenReleases() {
-            return broker.pendingReleases() > 0 || engines.releasing() > 0;
+            return broker.pendingReleases() > 0 || engines.pendingReleases() > 0;
         }
 
         @Override
@@ -475,7 +475,8 @@
 
         @Override
         public String openWork() {
-            return clientsLeft() + " releases=" + engines.releasing() + " reservations=" + broker.pendingReleases();
+            return clientsLeft() + " releases=" + engines.pendingReleases() + " reservations="
+                    + broker.pendingReleases();
         }
 
         @Override
--- a/src/main/java/maplerail/server/StreamMigration.java
+++ b/src/main/java/maplerail/server/StreamMigration.java
@@ -139,7 +139,7 @@
                 stream.requestId(),
                 answer,
                 STALL_TIMEOUT_MS,
-                observer -> engines.adopt(stream.engine(), fromEngine, observer)));
+                observer -> engines.adoptStream(stream.engine(), fromEngine, observer)));
         adopted++;
         metrics.streams(adopted, handedOn);
         LOG.debug("stream adopted request={}", stream.requestId());
@@ -247,7 +247,7 @@
     private static StreamConnection connection(Object detached) {
         return detached instanceof ResumedResponse.DetachedClient client
                 ? client.connection()
-                : ((Call.Held) detached).connection();
+                : ((Call.DetachedConnection) detached).connection();
     }
 
     private static SocketChannel clientChannel(DetachedStream stream) throws IOException {
@@ -271,7 +271,7 @@
                 stream.requestId(),
                 client.closes(),
                 (InetSocketAddress) channel(client).getRemoteAddress(),
-                ((Call.Held) stream.engineConnection()).to());
+                ((Call.DetachedConnection) stream.engineConnection()).remoteAddress());
     }
 
     /** True while there is a process that takes streams. */
--- a/src/main/java/maplerail/server/TierPeerService.java
+++ b/src/main/java/maplerail/server/TierPeerService.java
@@ -14,7 +14,7 @@
 import maplerail.fleet.OutlierConsensus;
 import maplerail.fleet.ReaderPaceGossip;
 import maplerail.metrics.Metrics;
-import maplerail.net.PeerLink;
+import maplerail.net.PeerDatagramChannel;
 import maplerail.net.XnioLoop;
 import maplerail.routing.AttemptOutcome;
 import maplerail.routing.RoutingEvent.EndpointUpdate;
@@ -43,7 +43,7 @@
     private final ReaderPaceGossip paceGossip;
     private final EndpointView view = new EndpointView();
     private Optional<TierDecisions> decisions = Optional.empty();
-    private Optional<PeerLink> link = Optional.empty();
+    private Optional<PeerDatagramChannel> link = Optional.empty();
     private boolean waitLogged;
 
     /**
@@ -117,10 +117,10 @@
     private void listen() {
         if (stopping.getAsBoolean()) return;
         try {
-            PeerLink opened = PeerLink.open(worker, peers.listen(), this::receive);
+            PeerDatagramChannel opened = PeerDatagramChannel.open(worker, peers.listen(), this::receive);
             link = Optional.of(opened);
             if (peers.decides()) startDecisions();
-            LOG.info("tier joined sends_to={} listens_on={}", peers.all(), opened.address());
+            LOG.info("tier joined sends_to={} listens_on={}", peers.all(), opened.localAddress());
         } catch (IOException e) {
             if (!waitLogged)
                 LOG.info("peer address in use, retrying address={} error={}", peers.listen(), e.getMessage());
--- a/src/main/java/maplerail/server/ToolServices.java
+++ b/src/main/java/maplerail/server/ToolServices.java
@@ -112,7 +112,7 @@
     }
 
     private void hear(String service, EngineList list) {
-        clients.get(service).addresses(list.addresses());
+        clients.get(service).setAddresses(list.addresses());
         brokers.get(service)
                 .updateEndpoints(
                         new RoutingEvent.EndpointUpdate(EndpointUpdateKind.SNAPSHOT, list.version(), list.members()));
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -64,7 +64,7 @@
             else if (call == 1 || call == 4) x.reply(200, "{\"call\":" + call + "}", "X-Consul-Index: " + (call + 4));
             else x.awaitEnd();
         })) {
-            Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 10).unsettled();
+            Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 10).withoutSettleDelay();
             BlockingQuery query = new BlockingQuery(
                     pool,
                     loop,
--- a/src/test/java/maplerail/net/PoolTest.java
+++ b/src/test/java/maplerail/net/PoolTest.java
@@ -129,7 +129,7 @@
     }
 
     private static io.undertow.client.ClientRequest request(InetSocketAddress to) {
-        io.undertow.client.ClientRequest request = Requests.to(to, Methods.POST, "/");
+        io.undertow.client.ClientRequest request = HttpRequests.create(to, Methods.POST, "/");
         request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 2);
         return request;
     }
@@ -172,7 +172,7 @@
             InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
             Pool pool = pool(1e12);
             loop.execute(() -> {
-                io.undertow.client.ClientRequest request = Requests.to(at, Methods.POST, "/");
+                io.undertow.client.ClientRequest request = HttpRequests.create(at, Methods.POST, "/");
                 request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 32 << 20);
                 pool.start(at, request, new byte[32 << 20], new Heard(ends));
             });
@@ -230,7 +230,7 @@
             InetSocketAddress to = server.socketAddress();
             loop.execute(() -> {
                 for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new Heard(heard));
-                pool.start(to, Requests.to(to, Methods.DELETE, "/"), new byte[0], new Heard(heard));
+                pool.start(to, HttpRequests.create(to, Methods.DELETE, "/"), new byte[0], new Heard(heard));
             });
             for (int i = 0; i < 61; i++) assertThat(take(heard)).isEqualTo("end");
             assertThat(List.copyOf(arrived).indexOf("DELETE")).isBetween(0, 50);
@@ -252,7 +252,7 @@
             }
             begun.add(begunDials(metrics));
             InetSocketAddress last = servers.get(4).socketAddress();
-            pool.start(last, Requests.to(last, Methods.DELETE, "/"), new byte[0], new Heard(heard));
+            pool.start(last, HttpRequests.create(last, Methods.DELETE, "/"), new byte[0], new Heard(heard));
             begun.add(begunDials(metrics));
         });
         assertThat(take(begun)).isEqualTo(64);
@@ -305,7 +305,7 @@
             Pool pool = pool(30_000);
             loop.execute(() -> {
                 Call[] call = new Call[1];
-                pool.beforeUse(() -> call[0].abort());
+                pool.setBeforeUseHook(() -> call[0].abort());
                 call[0] = pool.start(
                         server.socketAddress(), request(server.socketAddress()), new byte[0], new Heard(heard));
                 loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
@@ -336,7 +336,7 @@
                 at.put(id, one.socketAddress());
                 members.add(new Endpoint(id, EndpointState.READY, 0, 0, 0, 1, 0));
             }
-            client.hear(new EngineList(1, true, members, at));
+            client.updateEngines(new EngineList(1, true, members, at));
             post(pool, lives.socketAddress());
             loop.execute(() -> client.release(1, at.keySet(), "a1", loop.nowMs() + 500, ALWAYS));
             World.await("told", () -> lives.count("DELETE /internal/reservations/a1") == 1);
@@ -350,10 +350,10 @@
     void aReleaseWhoseAnswerWaitsToBeReadGoesNowhereElse() throws Exception {
         try (StandIn own = World.reader();
                 StandIn other = World.reader()) {
-            Pool pool = pool(30_000).unsettled();
+            Pool pool = pool(30_000).withoutSettleDelay();
             EngineClient client = new EngineClient(pool);
             Endpoint one = new Endpoint(1, EndpointState.READY, 0, 0, 0, 1, 0);
-            client.hear(new EngineList(
+            client.updateEngines(new EngineList(
                     1,
                     true,
                     List.of(one, new Endpoint(2, EndpointState.READY, 0, 0, 0, 1, 0)),
@@ -376,13 +376,13 @@
     void whatAnEngineIsToldOfTimeIsWhatIsLeftAsItIsWritten() throws Exception {
         BlockingQueue<StandIn.Exchange> taken = World.queue();
         try (StandIn server = new StandIn(taken::add)) {
-            EngineClient client = new EngineClient(pool(30_000, 1).unsettled());
-            client.hear(new EngineList(
+            EngineClient client = new EngineClient(pool(30_000, 1).withoutSettleDelay());
+            client.updateEngines(new EngineList(
                     1,
                     true,
                     List.of(new Endpoint(1, EndpointState.READY, 0, 0, 0, 1, 0)),
                     Map.of(1L, server.socketAddress())));
-            HttpCargo cargo = new HttpCargo(Methods.POST, "/", List.of(), new byte[2]);
+            HttpRequestPayload cargo = new HttpRequestPayload(Methods.POST, "/", List.of(), new byte[2]);
             InferenceRequest ask = new InferenceRequest("a1", 0, 0, 0, 1, 0, 0, 5_000, 1, 0, false, 2, cargo);
             double until = loop.nowMs() + 5_000;
             loop.execute(() -> {
@@ -421,7 +421,7 @@
             for (long id = 1; id <= 5_000; id++) {
                 Endpoint came = new Endpoint(id, EndpointState.READY, 0, 0, 0, 1, 0);
                 Endpoint gone = new Endpoint(id - 1, EndpointState.REMOVED, 0, 0, 0, 1, 0);
-                client.hear(new EngineList(
+                client.updateEngines(new EngineList(
                         id,
                         id % 10 == 0,
                         id % 10 == 0 ? List.of(came) : List.of(came, gone),
--- a/src/test/java/maplerail/rpc/BatchTest.java
+++ b/src/test/java/maplerail/rpc/BatchTest.java
@@ -8,24 +8,24 @@
 
 class BatchTest {
     private final List<String> told = new ArrayList<>();
-    private final Batch batch = new Batch(told::add);
+    private final BatchResponse batch = new BatchResponse(told::add);
 
     @Test
     void theArrayGoesOutOnceWithTheLastAnswer() {
-        batch.expect(1);
-        batch.answer("1");
-        batch.expect(0);
-        batch.expect(1);
+        batch.expectResponses(1);
+        batch.addResponse("1");
+        batch.expectResponses(0);
+        batch.expectResponses(1);
         assertThat(batch.seal()).isEqualTo(1);
         assertThat(told).isEmpty();
-        batch.answer("2");
+        batch.addResponse("2");
         assertThat(told).containsExactly("[1,2]");
     }
 
     @Test
     void answersThatCameBeforeTheEndWaitForIt() {
-        batch.expect(1);
-        batch.answer("1");
+        batch.expectResponses(1);
+        batch.addResponse("1");
         assertThat(told).isEmpty();
         batch.seal();
         assertThat(told).containsExactly("[1]");
@@ -33,7 +33,7 @@
 
     @Test
     void notificationsAloneBringNothing() {
-        batch.expect(0);
+        batch.expectResponses(0);
         assertThat(batch.seal()).isZero();
         assertThat(told).isEmpty();
     }
--- a/src/test/java/maplerail/rpc/PagesTest.java
+++ b/src/test/java/maplerail/rpc/PagesTest.java
@@ -21,9 +21,9 @@
             List<String> told = new ArrayList<>();
             String cursor = null;
             do {
-                Pages.Page page = Pages.of(all, cursor, 1 + random.nextInt(9));
+                Pagination.Page page = Pagination.page(all, cursor, 1 + random.nextInt(9));
                 told.addAll(page.names());
-                cursor = page.next();
+                cursor = page.nextCursor();
                 all.keySet().removeIf(name -> name.startsWith("x") && random.nextBoolean());
                 all.put((random.nextBoolean() ? "x" : "stays a") + random.nextInt(1_000_000), 0);
             } while (cursor != null);
@@ -34,6 +34,6 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "%%", "YQ==", "a", "YQ YQ"})
     void aCursorThatWasNeverGivenIsNone(String cursor) {
-        assertThat(Pages.of(new TreeMap<>(), cursor, 5)).isNull();
+        assertThat(Pagination.page(new TreeMap<>(), cursor, 5)).isNull();
     }
 }
--- a/src/test/java/maplerail/rpc/ReplayTest.java
+++ b/src/test/java/maplerail/rpc/ReplayTest.java
@@ -13,13 +13,15 @@
     void whatWasMissedComesOnceAndInOrderOrNotAtAll() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Replay.Budget budget = new Replay.Budget(300);
-            List<Replay> streams =
-                    List.of(new Replay(8, 120, budget), new Replay(8, 200, budget), new Replay(4, 400, budget));
+            ReplayBuffer.Budget budget = new ReplayBuffer.Budget(300);
+            List<ReplayBuffer> streams = List.of(
+                    new ReplayBuffer(8, 120, budget),
+                    new ReplayBuffer(8, 200, budget),
+                    new ReplayBuffer(4, 400, budget));
             List<List<String>> said = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
             for (int step = 0; step < 300; step++) {
                 int at = random.nextInt(3);
-                Replay replay = streams.get(at);
+                ReplayBuffer replay = streams.get(at);
                 if (random.nextInt(40) == 0) replay.clear();
                 String text = "m".repeat(random.nextInt(60)) + step;
                 said.get(at).add(text);
@@ -27,28 +29,34 @@
                         .as("seed %d", seed)
                         .isEqualTo(said.get(at).size());
                 int seen = random.nextInt(said.get(at).size() + 1);
-                List<Replay.Message> missed = replay.after(seen);
+                List<ReplayBuffer.Message> missed = replay.messagesAfter(seen);
                 if (missed != null) {
                     assertThat(missed)
                             .as("seed %d", seed)
-                            .extracting(Replay.Message::text)
+                            .extracting(ReplayBuffer.Message::text)
                             .containsExactlyElementsOf(
                                     said.get(at).subList(seen, said.get(at).size()));
                 }
-                assertThat(replay.after(said.get(at).size())).isEmpty();
-                int kept = streams.stream().mapToInt(Replay::chars).sum();
-                assertThat(budget.chars()).as("seed %d", seed).isEqualTo(kept).isLessThanOrEqualTo(300 + 3 * 64);
+                assertThat(replay.messagesAfter(said.get(at).size())).isEmpty();
+                int kept =
+                        streams.stream().mapToInt(ReplayBuffer::bufferedChars).sum();
+                assertThat(budget.usedChars())
+                        .as("seed %d", seed)
+                        .isEqualTo(kept)
+                        .isLessThanOrEqualTo(300 + 3 * 64);
             }
         }
     }
 
     @Test
     void aNumberThatWasNeverGivenIsNoPlaceToGoOnFrom() {
-        Replay replay = new Replay(2, 100, new Replay.Budget(100));
+        ReplayBuffer replay = new ReplayBuffer(2, 100, new ReplayBuffer.Budget(100));
         for (String text : List.of("a", "b", "c")) replay.add(text);
-        assertThat(replay.after(0)).isNull();
-        assertThat(replay.after(4)).isNull();
-        assertThat(replay.after(-1)).isNull();
-        assertThat(replay.after(1)).extracting(Replay.Message::text).containsExactly("b", "c");
+        assertThat(replay.messagesAfter(0)).isNull();
+        assertThat(replay.messagesAfter(4)).isNull();
+        assertThat(replay.messagesAfter(-1)).isNull();
+        assertThat(replay.messagesAfter(1))
+                .extracting(ReplayBuffer.Message::text)
+                .containsExactly("b", "c");
     }
 }
--- a/src/test/java/maplerail/rpc/SessionStateTest.java
+++ b/src/test/java/maplerail/rpc/SessionStateTest.java
@@ -11,7 +11,7 @@
     private static SessionState at(String phase, boolean handshake) {
         SessionState state = new SessionState(handshake);
         if (!phase.equals("NEW")) state.initialize("2025-03-26");
-        if (phase.equals("READY") || phase.equals("DRAINING")) state.initialized();
+        if (phase.equals("READY") || phase.equals("DRAINING")) state.onInitialized();
         if (phase.equals("DRAINING")) state.drain();
         if (phase.equals("CLOSED")) state.close();
         assertThat(state.phase()).hasToString(phase);
@@ -36,8 +36,8 @@
         "CLOSED,     true,  ping,       CLOSED",
         "CLOSED,     false, tools/call, CLOSED",
     })
-    void eachRequestHasItsTime(String phase, boolean handshake, String method, SessionState.Verdict verdict) {
-        assertThat(at(phase, handshake).request(method)).isEqualTo(verdict);
+    void eachRequestHasItsTime(String phase, boolean handshake, String method, SessionState.Decision verdict) {
+        assertThat(at(phase, handshake).decide(method)).isEqualTo(verdict);
     }
 
     @ParameterizedTest
@@ -49,11 +49,11 @@
     @Test
     void initializedCountsOnlyOnceAndInItsTime() {
         SessionState state = new SessionState(true);
-        assertThat(state.initialized()).isFalse();
+        assertThat(state.onInitialized()).isFalse();
         assertThat(state.phase()).isEqualTo(SessionState.Phase.NEW);
         state.initialize("x");
-        assertThat(state.initialized()).isTrue();
-        assertThat(state.initialized()).isFalse();
+        assertThat(state.onInitialized()).isTrue();
+        assertThat(state.onInitialized()).isFalse();
         assertThatThrownBy(() -> state.initialize("x")).isInstanceOf(IllegalStateException.class);
         state.close();
         state.drain();
