--- a/src/main/java/maplerail/algorithms/DecayingAverage.java
+++ b/src/main/java/maplerail/algorithms/DecayingAverage.java
@@ -1,8 +1,8 @@
 package maplerail.algorithms;
 
 /**
- * The mean of recent samples. A sample's weight fades exponentially with its age, and no more than a fixed number of
- * samples is remembered, so that the mean follows a change at once where samples are frequent.
+ * The mean of recent samples. A sample's weight decays exponentially with its age, and the total weight is limited to a
+ * fixed number of samples, so that the mean follows a change quickly where samples are frequent.
  */
 public final class DecayingAverage {
     private final double maxSamples;
@@ -14,8 +14,8 @@
     /**
      * Creates an average without samples.
      *
-     * @param maxSamples the most samples whose weight is remembered
-     * @param timeConstantMs the time in which the weight of a sample falls to 1/e
+     * @param maxSamples the maximum total weight, in samples
+     * @param timeConstantMs the time in which the weight of a sample decays to 1/e
      */
     public DecayingAverage(double maxSamples, double timeConstantMs) {
         this.maxSamples = maxSamples;
@@ -29,28 +29,28 @@
         updatedMs = nowMs;
     }
 
-    /** The mean, however old its samples are; 0 before the first. */
+    /** Returns the mean regardless of the age of its samples; 0 before the first. */
     public double mean() {
         return mean;
     }
 
-    /** The weight that the samples have now, in samples. */
+    /** Returns the present total weight, in samples. */
     public double weight(double nowMs) {
         return weight * Math.exp((updatedMs - nowMs) / timeConstantMs);
     }
 
-    /** Sets the weight that the samples had when the last of them came, so that later ones count for more or less. */
+    /** Sets the total weight as of the last sample, so that later samples count for more or less. */
     public void resetWeight(double newWeight) {
         weight = newWeight;
     }
 
-    /** The mean if the samples still have {@code minWeight}, otherwise {@code fallback}. */
+    /** Returns the mean if the samples still have {@code minWeight}, otherwise {@code fallback}. */
     public double meanOr(double minWeight, double fallback, double nowMs) {
         return weight(nowMs) >= minWeight ? mean : fallback;
     }
 
-    /** The mean, faded towards 0 with the time since the last sample. */
-    public double fadedMean(double fadeMs, double nowMs) {
-        return mean * Math.exp((updatedMs - nowMs) / fadeMs);
+    /** Returns the mean, decayed towards 0 with the time since the last sample. */
+    public double decayedMean(double decayMs, double nowMs) {
+        return mean * Math.exp((updatedMs - nowMs) / decayMs);
     }
 }
--- a/src/main/java/maplerail/algorithms/DecayingCounts.java
+++ b/src/main/java/maplerail/algorithms/DecayingCounts.java
@@ -1,6 +1,6 @@
 package maplerail.algorithms;
 
-/** How often keys occurred recently: counts that fade exponentially, in a table of bounded size. */
+/** Counts of the recent occurrences of keys, which decay exponentially, in a table of bounded size. */
 public final class DecayingCounts {
     private final double timeConstantMs;
     private final LruTable<Count> counts;
@@ -11,9 +11,9 @@
     /**
      * Creates counts that are all 0.
      *
-     * @param timeConstantMs the time in which a count falls to 1/e
-     * @param retentionMs the time after which a key that did not occur again is forgotten
-     * @param capacity the most keys
+     * @param timeConstantMs the time in which a count decays to 1/e
+     * @param retentionMs the time since its last occurrence after which a key may be evicted
+     * @param capacity the maximum number of keys
      */
     public DecayingCounts(double timeConstantMs, double retentionMs, int capacity) {
         this.timeConstantMs = timeConstantMs;
@@ -26,13 +26,13 @@
         counts.put(key, new Count(count(key, atMs) + 1, atMs));
     }
 
-    /** The faded count of a key. */
+    /** Returns the decayed count of a key. */
     public double count(long key, double atMs) {
-        Count known = counts.get(key);
-        return known == null ? 0 : known.value() * Math.exp((known.atMs() - atMs) / timeConstantMs);
+        Count entry = counts.get(key);
+        return entry == null ? 0 : entry.value() * Math.exp((entry.atMs() - atMs) / timeConstantMs);
     }
 
-    /** The number of keys that are remembered. */
+    /** Returns the number of keys in the table. */
     public int size() {
         return counts.size();
     }
--- a/src/main/java/maplerail/algorithms/DecayingRate.java
+++ b/src/main/java/maplerail/algorithms/DecayingRate.java
@@ -6,18 +6,18 @@
     private double perMs;
     private double updatedMs;
 
-    /** Creates a rate of 0 that is averaged over a time constant. */
+    /** Creates a rate of 0 that decays with a time constant. */
     public DecayingRate(double timeConstantMs) {
         this.timeConstantMs = timeConstantMs;
     }
 
-    /** Counts events; a negative number takes back events that turned out not to count. */
+    /** Counts events; a negative number subtracts events that were counted before and are not to count. */
     public void add(double events, double nowMs) {
         perMs = Math.max(0, perMs(nowMs) + events / timeConstantMs);
         updatedMs = nowMs;
     }
 
-    /** Events a millisecond. */
+    /** Returns the rate in events per millisecond. */
     public double perMs(double nowMs) {
         return perMs * Math.exp((updatedMs - nowMs) / timeConstantMs);
     }
--- a/src/main/java/maplerail/algorithms/LruTable.java
+++ b/src/main/java/maplerail/algorithms/LruTable.java
@@ -7,8 +7,8 @@
 import java.util.function.Predicate;
 
 /**
- * A table of bounded size. Its entries are in the order in which they were last put; those that have expired, or are
- * too many, are evicted from the eldest on.
+ * A table of bounded size. Its entries are in the order in which they were last put; expired entries and those above the
+ * capacity are evicted from the oldest on.
  *
  * @param <V> the type of the values
  */
@@ -20,32 +20,32 @@
     /**
      * Creates an empty table.
      *
-     * @param capacity the most entries
-     * @param expired whether a value may be evicted
+     * @param capacity the maximum number of entries
+     * @param expired returns whether a value may be evicted
      */
     public LruTable(int capacity, Predicate<V> expired) {
         this.capacity = capacity;
         this.expired = expired;
     }
 
-    /** The value of a key, or null. Looking it up does not count as use. */
+    /** Returns the value of a key, or null. A lookup does not change the order of eviction. */
     public V get(long key) {
         return entries.get(key);
     }
 
-    /** Puts a value, which makes it the youngest entry, and evicts from the eldest on. */
+    /** Puts a value as the newest entry and evicts entries from the oldest on. */
     public void put(long key, V value) {
         entries.remove(key);
         entries.put(key, value);
         evict();
     }
 
-    /** Calls {@code action} with each entry, the eldest first. */
+    /** Calls {@code action} with each entry, the oldest first. */
     public void forEach(BiConsumer<Long, V> action) {
         entries.forEach(action);
     }
 
-    /** The number of entries, expired ones that were not evicted yet included. */
+    /** Returns the number of entries, including expired ones that have not been evicted yet. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/maplerail/algorithms/RendezvousHash.java
+++ b/src/main/java/maplerail/algorithms/RendezvousHash.java
@@ -5,8 +5,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Rendezvous (highest random weight) hashing: each node gets a weight for a key, and all who know the same nodes agree
- * on their order without talking to each other. A node that leaves changes the place of its own keys only.
+ * Rendezvous (highest random weight) hashing: each node has a weight for each key, and all processes with the same list
+ * of nodes compute the same order of nodes without communicating. Removing a node reassigns the keys of this node only.
  */
 public final class RendezvousHash {
     private static final long MULTIPLIER_1 = 0xbf58476d1ce4e5b9L;
@@ -14,23 +14,23 @@
 
     private RendezvousHash() {}
 
-    /** The weight of a node for a key, not negative; the node of the lowest weight is the key's first choice. */
+    /** Returns the weight of a node for a key, never negative; the node of the lowest weight is the key's first choice. */
     public static long weight(long key, long node) {
         return mix(key ^ mix(node));
     }
 
     /**
-     * The node of the lowest value, or null if there are no nodes. Among equal values the one of the lowest weight for the
-     * key is chosen, so that those who compare the same values with different keys choose different nodes.
+     * Returns the node of the lowest value, or null if there are no nodes. Ties are broken by the lowest weight for the
+     * key, so that processes that compare the same values with different keys choose different nodes.
      */
     public static <N> N lowest(Collection<N> nodes, ToDoubleFunction<N> value, ToLongFunction<N> id, long key) {
         N best = null;
         double lowest = Double.POSITIVE_INFINITY;
         for (N node : nodes) {
-            double own = value.applyAsDouble(node);
-            if (best == null || own < lowest || own == lowest && precedes(key, id, node, best)) {
+            double nodeValue = value.applyAsDouble(node);
+            if (best == null || nodeValue < lowest || nodeValue == lowest && precedes(key, id, node, best)) {
                 best = node;
-                lowest = own;
+                lowest = nodeValue;
             }
         }
         return best;
--- a/src/main/java/maplerail/algorithms/TokenBucket.java
+++ b/src/main/java/maplerail/algorithms/TokenBucket.java
@@ -1,6 +1,6 @@
 package maplerail.algorithms;
 
-/** A token bucket: it fills at a rate, holds a bounded number of tokens, and what is limited takes tokens from it. */
+/** A token bucket: it is refilled at a rate up to a capacity, and each operation that is rate-limited consumes a token. */
 public final class TokenBucket {
     private double tokens;
     private double updatedMs;
@@ -11,30 +11,30 @@
         this.updatedMs = nowMs;
     }
 
-    /** Adds the tokens of the time since the last refill, up to a capacity; what is above the capacity is lost. */
+    /** Adds the tokens for the time since the last refill and discards those above the capacity. */
     public void refill(double nowMs, double tokensPerMs, double capacity) {
         tokens = Math.min(capacity, tokens + (nowMs - updatedMs) * tokensPerMs);
         updatedMs = nowMs;
     }
 
-    /** The tokens as of the last refill. */
+    /** Returns the number of tokens as of the last refill. */
     public double tokens() {
         return tokens;
     }
 
-    /** Takes a token, whether there is a whole one or not. */
+    /** Consumes a token even if less than a whole one is available; the number of tokens may become negative. */
     public void consume() {
         tokens -= 1;
     }
 
-    /** Takes a token and returns true if there is a whole one; otherwise takes nothing. */
+    /** Consumes a token and returns true if a whole one is available; otherwise consumes nothing. */
     public boolean tryConsume() {
         if (tokens < 1) return false;
         tokens -= 1;
         return true;
     }
 
-    /** Takes a token if there is a whole one, otherwise what there is of one; returns whether it was whole. */
+    /** Consumes a token or the fraction that is left of one; returns true if a whole one was available. */
     public boolean consumeOrDrain() {
         boolean whole = tokens >= 1;
         tokens = Math.max(0, tokens - 1);
--- a/src/main/java/maplerail/algorithms/package-info.java
+++ b/src/main/java/maplerail/algorithms/package-info.java
@@ -1,5 +1,5 @@
 /**
- * General data structures and algorithms that decide nothing: averages that fade, token buckets, rendezvous hashing and
- * bounded tables. Each takes the time as an argument, in milliseconds of any one clock, and is used by one thread only.
+ * General data structures and algorithms without policy: decaying averages, token buckets, rendezvous hashing and bounded
+ * tables. All receive the time as an argument, in milliseconds of any single clock. None is thread-safe.
  */
 package maplerail.algorithms;
--- a/src/main/java/maplerail/routing/EndpointState.java
+++ b/src/main/java/maplerail/routing/EndpointState.java
@@ -1,11 +1,11 @@
 package maplerail.routing;
 
-/** What service discovery says of an engine. */
+/** The state of an engine according to service discovery. */
 public enum EndpointState {
-    /** Takes new work. */
+    /** The engine accepts new work. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** The engine finishes its current work and accepts no new work. */
     DRAINING,
-    /** Is no longer there. */
+    /** The engine is no longer listed. */
     REMOVED
 }
--- a/src/main/java/maplerail/routing/EndpointUpdateKind.java
+++ b/src/main/java/maplerail/routing/EndpointUpdateKind.java
@@ -1,13 +1,13 @@
 package maplerail.routing;
 
-/** What an endpoint update holds. */
+/** The content of an endpoint update. */
 public enum EndpointUpdateKind {
     /** Only the endpoints that changed. */
     DELTA,
     /** All endpoints. */
     SNAPSHOT,
-    /** The last complete list that an earlier process knew. */
+    /** The last complete list of an earlier process of this gateway. */
     REMEMBERED,
-    /** Nothing: the subscription has failed. */
+    /** No endpoints: the subscription has failed. */
     FAILED
 }
--- a/src/main/java/maplerail/routing/EngineRole.java
+++ b/src/main/java/maplerail/routing/EngineRole.java
@@ -1,10 +1,10 @@
 package maplerail.routing;
 
-/** Which of the two stages of a request an engine serves. */
+/** The stages of a request that an engine serves. */
 public enum EngineRole {
     /** Reads prompts (prefill) and hands the resulting state to a writer. */
     READER,
-    /** Takes the state of a prompt that was read and streams the answer (decode). */
+    /** Takes the state of a prompt from a reader and streams the answer (decode). */
     WRITER,
     /** Serves both stages. */
     BOTH
--- a/src/main/java/maplerail/routing/Idempotency.java
+++ b/src/main/java/maplerail/routing/Idempotency.java
@@ -1,11 +1,11 @@
 package maplerail.routing;
 
-/** How often a request of a class may be executed. */
+/** Whether a request of a class may be executed more than once. */
 public enum Idempotency {
-    /** Any number of times. */
+    /** May be executed any number of times. */
     IDEMPOTENT,
-    /** Any number of times where and while engines drop repeats by the request's idempotency key. */
+    /** May be repeated as long as the engines involved deduplicate by the request's idempotency key. */
     IDEMPOTENCY_KEY,
-    /** Once at most. */
+    /** Must be executed at most once. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/maplerail/routing/IdempotencyScope.java
+++ b/src/main/java/maplerail/routing/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package maplerail.routing;
 
-/** Which engines recognise the idempotency key of a request that one of them has executed. */
+/** The engines that recognise the idempotency key of a request that one of them has executed. */
 public enum IdempotencyScope {
     /** All engines. */
     ALL,
@@ -9,7 +9,7 @@
     /** The engines of the same cell. */
     CELL;
 
-    /** True if an engine recognises the keys of requests that another one has executed. */
+    /** Returns true if {@code other} recognises the keys of requests that {@code executed} has executed. */
     public boolean includes(Endpoint executed, Endpoint other) {
         return switch (this) {
             case ALL -> true;
--- a/src/main/java/maplerail/routing/LoadReport.java
+++ b/src/main/java/maplerail/routing/LoadReport.java
@@ -1,7 +1,7 @@
 package maplerail.routing;
 
 /**
- * The load that an engine reported with an answer.
+ * The load that an engine reports with an answer.
  *
  * @param memoryShare the share of its memory that is in use, 0 to 1; NaN if it was not reported
  */
--- a/src/main/java/maplerail/routing/RoutingAction.java
+++ b/src/main/java/maplerail/routing/RoutingAction.java
@@ -1,45 +1,45 @@
 package maplerail.routing;
 
-/** Something that a routing policy wants done. */
+/** An action that a routing policy requests from its gateway. */
 public sealed interface RoutingAction {
 
     /** Calls the handler's method for this kind of action. */
     void accept(Handler handler);
 
-    /** One method for each kind of action; those that are not overridden ignore it. */
+    /** One method for each kind of action; the default implementations ignore the action. */
     interface Handler {
-        /** Makes an attempt. */
-        default void onStartAttempt(StartAttempt order) {}
+        /** Starts an attempt. */
+        default void onStartAttempt(StartAttempt action) {}
 
-        /** Calls an attempt off. */
-        default void onCancelAttempt(CancelAttempt order) {}
+        /** Cancels an attempt. */
+        default void onCancelAttempt(CancelAttempt action) {}
 
-        /** Releases what engines hold for a request. */
-        default void onReleaseState(ReleaseState order) {}
+        /** Releases the state that engines hold for a request. */
+        default void onReleaseState(ReleaseState action) {}
 
-        /** Asks a writer to hold a place. */
-        default void onReservePlace(ReservePlace order) {}
+        /** Requests a place at a writer. */
+        default void onReservePlace(ReservePlace action) {}
 
         /** Rejects a request. */
-        default void onRejectRequest(RejectRequest order) {}
+        default void onRejectRequest(RejectRequest action) {}
 
         /** Fails a request. */
-        default void onFailRequest(FailRequest order) {}
+        default void onFailRequest(FailRequest action) {}
 
         /** Sets a timer. */
-        default void onSetTimer(SetTimer order) {}
+        default void onSetTimer(SetTimer action) {}
 
         /** Subscribes to endpoint updates. */
-        default void onSubscribeEndpoints(SubscribeEndpoints order) {}
+        default void onSubscribeEndpoints(SubscribeEndpoints action) {}
 
         /** Fetches the endpoint list. */
-        default void onFetchEndpoints(FetchEndpoints order) {}
+        default void onFetchEndpoints(FetchEndpoints action) {}
 
         /** Writes a log line. */
-        default void onLogMessage(LogMessage order) {}
+        default void onLogMessage(LogMessage action) {}
     }
 
-    /** Make an attempt, which times out at {@code deadlineMs}; a request's attempts are numbered from 0. */
+    /** Start an attempt, which times out at {@code deadlineMs}; a request's attempts are numbered from 0. */
     record StartAttempt(long requestId, long engine, double deadlineMs) implements RoutingAction {
         @Override
         public void accept(Handler handler) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Call an attempt off. */
+    /** Cancel an attempt. */
     record CancelAttempt(long requestId, int attempt) implements RoutingAction {
         @Override
         public void accept(Handler handler) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Release the state that engines hold for the request and that no attempt waits for. */
+    /** Release the state that engines hold for the request, except where an attempt still waits for it. */
     record ReleaseState(long requestId) implements RoutingAction {
         @Override
         public void accept(Handler handler) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Ask a writer to hold a place for a request that is being read. */
+    /** Request a writer to reserve a place for a request whose prompt is still being read. */
     record ReservePlace(long requestId, long engine) implements RoutingAction {
         @Override
         public void accept(Handler handler) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Report a {@link RoutingEvent.TimerFired} with this token at a time. */
+    /** Report a {@link RoutingEvent.TimerFired} with this token at {@code atMs}. */
     record SetTimer(long token, double atMs) implements RoutingAction {
         @Override
         public void accept(Handler handler) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Open the standing subscription to endpoint updates. */
+    /** Open the subscription to endpoint updates. */
     record SubscribeEndpoints() implements RoutingAction {
         @Override
         public void accept(Handler handler) {
--- a/src/main/java/maplerail/routing/RoutingEvent.java
+++ b/src/main/java/maplerail/routing/RoutingEvent.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** Something that a gateway reports to its routing policy. */
+/** An event that a gateway reports to its routing policy. */
 public sealed interface RoutingEvent {
 
     /** Calls the handler's method for this kind of event. */
     void accept(Handler handler);
 
-    /** One method for each kind of event; those that are not overridden ignore it. */
+    /** One method for each kind of event; the default implementations ignore the event. */
     interface Handler {
-        /** Handles news from service discovery. */
+        /** Handles an update from service discovery. */
         default void onEndpointUpdate(EndpointUpdate update) {}
 
         /** Handles a new request. */
@@ -22,10 +22,10 @@
         /** Handles the end of an attempt. */
         default void onAttemptEnded(AttemptEnded end) {}
 
-        /** Handles a read that has taken long without a word of its reader. */
+        /** Handles a read that is overdue. */
         default void onReadOverdue(ReadOverdue read) {}
 
-        /** Handles a place that a writer holds for a request. */
+        /** Handles the reservation of a place at a writer. */
         default void onPlaceReserved(PlaceReserved place) {}
 
         /** Handles a request whose client no longer waits. */
@@ -37,19 +37,19 @@
         /** Handles new settings. */
         default void onSettingsChanged(SettingsChanged change) {}
 
-        /** Handles a cache entry of the policy that served here before. */
+        /** Handles a cache entry of this gateway's previous policy. */
         default void onPrefixCached(PrefixCached entry) {}
 
-        /** Handles a read that another gateway has observed. */
+        /** Handles reads that another gateway has observed. */
         default void onPeerRead(PeerRead read) {}
     }
 
     /**
-     * News from service discovery.
+     * An update from service discovery.
      *
-     * @param kind what the update holds
+     * @param kind the content of the update
      * @param version the list's version
-     * @param endpoints the endpoints that it names
+     * @param endpoints the endpoints in the update
      */
     record EndpointUpdate(EndpointUpdateKind kind, long version, List<Endpoint> endpoints) implements RoutingEvent {
         @Override
@@ -59,19 +59,19 @@
     }
 
     /**
-     * The gateway has taken a request.
+     * A request has arrived.
      *
      * @param requestId the request's number, unique while it is open
      * @param requestClass the index of its class in {@link RoutingSettings#classes()}
-     * @param tenant the index of its tenant in {@link RoutingSettings#tenants()}; any other for none
+     * @param tenant the index of its tenant in {@link RoutingSettings#tenants()}; an index beyond the list for none
      * @param session the key of its session; 0 for none
      * @param promptTokens the length of its prompt
      * @param prefix the key of the shared text with which its prompt begins; 0 for none
      * @param prefixTokens the length of that text
-     * @param budgetMs the time until its client gives up
-     * @param maxOutputTokens the most that it may be answered with
-     * @param expectedStreamMs a hint at how long its answer streams; 0 for none
-     * @param resumed whether it asks for the rest of a stream that broke
+     * @param budgetMs the time until its client stops waiting
+     * @param maxOutputTokens the maximum length of its answer
+     * @param expectedStreamMs the expected duration of its stream, a hint; 0 for none
+     * @param resumed whether it requests the rest of a stream that was interrupted
      */
     record RequestArrived(
             long requestId,
@@ -91,23 +91,23 @@
             handler.onRequestArrived(this);
         }
 
-        /** The same arrival with lengths and times of at most {@code max}, and 0 in place of NaN and negative ones. */
-        public RequestArrived cutTo(double max) {
+        /** Returns this event with lengths and times limited to {@code max}, and NaN and negative ones replaced by 0. */
+        public RequestArrived clampedTo(double max) {
             return new RequestArrived(
                     requestId,
                     requestClass,
                     tenant,
                     session,
-                    cut(promptTokens, max),
+                    clamp(promptTokens, max),
                     prefix,
-                    cut(prefixTokens, max),
-                    cut(budgetMs, max),
-                    cut(maxOutputTokens, max),
-                    cut(expectedStreamMs, max),
+                    clamp(prefixTokens, max),
+                    clamp(budgetMs, max),
+                    clamp(maxOutputTokens, max),
+                    clamp(expectedStreamMs, max),
                     resumed);
         }
 
-        private static double cut(double value, double max) {
+        private static double clamp(double value, double max) {
             return value > 0 ? Math.min(value, max) : 0;
         }
     }
@@ -128,8 +128,8 @@
      * An attempt has ended.
      *
      * @param elapsedMs the time since the attempt was sent
-     * @param cachedTokens the part of the prompt that did not have to be read
-     * @param requestClosed whether the request needs nothing more, as it has its final answer
+     * @param cachedTokens the part of the prompt that was cached and did not have to be read
+     * @param requestClosed whether the request has its final answer and needs no further action
      */
     record AttemptEnded(
             long requestId,
@@ -148,8 +148,8 @@
     }
 
     /**
-     * A read has taken longer than reads did lately, and its answer may have been lost. A {@link RoutingAction.ReservePlace}
-     * finds out: its answer says whether the read is still in flight.
+     * A read is taking longer than recent reads, and its answer may have been lost. A {@link RoutingAction.ReservePlace}
+     * checks this, as its answer states whether the read is still in flight.
      */
     record ReadOverdue(long requestId, int attempt) implements RoutingEvent {
         @Override
@@ -158,7 +158,10 @@
         }
     }
 
-    /** A writer holds a place for a request; the state moves there as soon as it has been read, and then only there. */
+    /**
+     * A writer has reserved a place for a request. The state moves to this writer, and to no other, as soon as the prompt
+     * has been read.
+     */
     record PlaceReserved(long requestId, long engine) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
@@ -166,7 +169,7 @@
         }
     }
 
-    /** Nobody waits for the request any more. */
+    /** The client no longer waits for the request. */
     record RequestAbandoned(long requestId) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
@@ -174,7 +177,7 @@
         }
     }
 
-    /** The time that a {@link RoutingAction.SetTimer} asked for has come. */
+    /** A timer that a {@link RoutingAction.SetTimer} has set is due. */
     record TimerFired(long token) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
@@ -182,7 +185,7 @@
         }
     }
 
-    /** Other settings hold for requests from now on; what was learned stays, and open requests keep theirs. */
+    /** New settings apply to requests that arrive from now on; open requests and learned statistics are unaffected. */
     record SettingsChanged(RoutingSettings settings) implements RoutingEvent {
         @Override
         public void accept(Handler handler) {
@@ -191,12 +194,12 @@
     }
 
     /**
-     * The policy that served here before assumes that an engine has a prompt's prefix in its cache.
+     * This gateway's previous policy assumes that an engine has a prompt's prefix in its cache.
      *
-     * @param session true if the key is a session's, false if it is a shared text's
-     * @param key the session or shared text
-     * @param tokens the length that is cached
-     * @param atMs when it was read there
+     * @param session true if the key identifies a session, false if it identifies a shared prefix
+     * @param key the key of the session or shared prefix
+     * @param tokens the cached length
+     * @param atMs the time at which the engine read it
      */
     record PrefixCached(boolean session, long key, long engine, double tokens, double atMs) implements RoutingEvent {
         @Override
@@ -206,10 +209,10 @@
     }
 
     /**
-     * Another gateway has observed reads at a reader, from which this one's own reads may be too few to learn.
+     * Another gateway has observed reads at a reader. This gateway's own reads there may be too few for an estimate.
      *
-     * @param elapsedMs the time of a read from sending it to its end, queueing included; the mean of recent ones
-     * @param tokens the uncached tokens of a read; the mean of the same reads
+     * @param elapsedMs the mean time of recent reads from sending to their end, queueing included
+     * @param tokens the mean number of uncached tokens of the same reads
      */
     record PeerRead(long engine, double elapsedMs, double tokens) implements RoutingEvent {
         @Override
--- a/src/main/java/maplerail/routing/RoutingPolicy.java
+++ b/src/main/java/maplerail/routing/RoutingPolicy.java
@@ -11,20 +11,20 @@
 public interface RoutingPolicy {
 
     /**
-     * Reports what has happened and returns what is to be done.
+     * Processes events and returns the resulting actions.
      *
      * @param nowMs the time at which the events are reported, in milliseconds; never less than in an earlier call
-     * @param events the events in the order in which they happened
-     * @return the actions, to be carried out in this order
+     * @param events the events in the order in which they occurred
+     * @return the actions, in the order in which the gateway has to execute them
      */
     List<RoutingAction> step(double nowMs, List<? extends RoutingEvent> events);
 
-    /** The number of listed engines that get no new work for now because of recent failures or slowness. */
+    /** Returns the number of listed engines that are ejected because of recent failures or slowness. */
     default int ejectedEngines() {
         return 0;
     }
 
-    /** The prompt prefixes that are assumed to be cached at engines, for a policy that takes over from this one. */
+    /** Returns the prompt prefixes that are assumed to be cached at engines, for the policy that replaces this one. */
     default List<RoutingEvent.PrefixCached> cachedPrefixes() {
         return List.of();
     }
--- a/src/main/java/maplerail/routing/RoutingSettings.java
+++ b/src/main/java/maplerail/routing/RoutingSettings.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What a routing policy is created from.
+ * The settings of a routing policy.
  *
- * @param seed the source of all its random numbers; should differ from gateway to gateway
+ * @param seed the seed of all its random numbers; should differ between gateways
  * @param gateways the number of gateways that share the load
  * @param zone the index of the gateway's own zone
  * @param tickMs the resolution of the gateway's timers
- * @param mustSubscribe whether the policy has to ask for the subscription to endpoint updates
- * @param overQuotaWeight the factor on the priority of requests over their tenant's quota; 1 switches quotas off
+ * @param mustSubscribe whether the policy has to request the subscription to endpoint updates
+ * @param overQuotaWeight the factor on the priority weight of requests that exceed their tenant's quota; 1 disables quotas
  * @param classes the classes of requests
  * @param tenants the tenants
  * @param engineKinds the kinds of engines
- * @param limits what the deployment allows
- * @param rules the figures of the rules that the policy has to keep
+ * @param limits the limits of the deployment
+ * @param rules the parameters of the rules that the policy has to follow
  */
 public record RoutingSettings(
         long seed,
@@ -30,7 +30,7 @@
         Limits limits,
         Rules rules) {
 
-    /** The same settings where {@code count} gateways share the load. */
+    /** Returns the same settings for {@code count} gateways that share the load. */
     public RoutingSettings withGateways(int count) {
         return new RoutingSettings(
                 seed,
@@ -50,14 +50,14 @@
      * A class of requests.
      *
      * @param objectiveMs the latency objective for the first token
-     * @param objectiveMsPerToken what each token of the prompt adds to it
-     * @param deadlineMs the time after which clients give up
+     * @param objectiveMsPerToken the time that each token of the prompt adds to this objective
+     * @param deadlineMs the time after which clients stop waiting
      * @param tokenObjectiveMs the latency objective for each further token
-     * @param priorityWeight what a request is worth against those of other classes
-     * @param lateShare the share of that which an answer after the objective is still worth
-     * @param idempotency how often a request may be executed
-     * @param keyScope which engines recognise its idempotency key
-     * @param keyTtlMs for how long they recognise it
+     * @param priorityWeight the value of a request relative to those of other classes
+     * @param lateShare the share of this value that remains if the answer misses the objective
+     * @param idempotency whether a request may be executed more than once
+     * @param keyScope the engines that recognise its idempotency key
+     * @param keyTtlMs the time for which they recognise it
      */
     public record RequestClass(
             double objectiveMs,
@@ -70,22 +70,22 @@
             IdempotencyScope keyScope,
             double keyTtlMs) {}
 
-    /** A tenant and its quota in requests a second over all gateways; 0 for no limit. */
+    /** A tenant and its quota in requests per second over all gateways; 0 for no limit. */
     public record Tenant(double quotaPerSecond) {}
 
-    /** A kind of engine: its role and the tokens that its memory holds. */
+    /** A kind of engine: its role and its memory size in tokens. */
     public record EngineKind(EngineRole role, double memoryTokens) {}
 
     /**
-     * What the deployment allows.
+     * The limits of the deployment.
      *
-     * @param maxAttempts the most attempts for a request
-     * @param cancel whether attempts can be called off
-     * @param hedging whether a second attempt may be made while the first is in flight
-     * @param retryAfter whether rejected clients can be told when to retry
-     * @param maxRetryAfterMs the longest wait that they may be told
-     * @param writersRead whether writers can read prompts too
-     * @param placeReservations whether a writer can be asked to hold a place for a request that is still being read
+     * @param maxAttempts the maximum number of attempts for a request
+     * @param cancel whether attempts can be cancelled
+     * @param hedging whether a second attempt may be started while the first is in flight
+     * @param retryAfter whether a rejection can state when the client should retry
+     * @param maxRetryAfterMs the maximum delay that it may state
+     * @param writersCanRead whether writers can read prompts too
+     * @param placeReservations whether a writer can reserve a place for a request whose prompt is still being read
      */
     public record Limits(
             int maxAttempts,
@@ -93,31 +93,31 @@
             boolean hedging,
             boolean retryAfter,
             double maxRetryAfterMs,
-            boolean writersRead,
+            boolean writersCanRead,
             boolean placeReservations) {
 
-        /** Limits of a deployment whose writers hold no places ahead. */
+        /** Creates the limits of a deployment whose writers cannot reserve places. */
         public Limits(
                 int maxAttempts,
                 boolean cancel,
                 boolean hedging,
                 boolean retryAfter,
                 double maxRetryAfterMs,
-                boolean writersRead) {
-            this(maxAttempts, cancel, hedging, retryAfter, maxRetryAfterMs, writersRead, false);
+                boolean writersCanRead) {
+            this(maxAttempts, cancel, hedging, retryAfter, maxRetryAfterMs, writersCanRead, false);
         }
     }
 
     /**
-     * The figures of the rules that the policy has to keep.
+     * The parameters of the rules that the policy has to follow.
      *
-     * @param answerSlackMs how long after its deadline a final answer still counts
-     * @param reservationLimitMs how long a state may be held with no attempt in flight
-     * @param initialCapacity the share of its capacity that a process has when it has just started
-     * @param overloadMultiple the multiple of its capacity under which such a process fails
-     * @param overloadWindowMs for how long it has to last
+     * @param answerSlackMs the time after its deadline for which a final answer still counts
+     * @param reservationLimitMs the time for which a state may be reserved without an attempt in flight
+     * @param initialCapacity the share of its capacity that a newly started process has
+     * @param overloadMultiple the load, as a multiple of its present capacity, under which such a process fails
+     * @param overloadWindowMs the time for which this load has to last
      * @param slowStartMs the time after which a process has its full capacity
-     * @param subscribeWithinMs the time within which the subscription has to be asked for
+     * @param subscribeWithinMs the time within which the subscription has to be requested
      */
     public record Rules(
             double answerSlackMs,
--- a/src/main/java/maplerail/routing/TimerToken.java
+++ b/src/main/java/maplerail/routing/TimerToken.java
@@ -1,11 +1,11 @@
 package maplerail.routing;
 
 /**
- * What a policy's timer is for, packed into the opaque token of {@link RoutingAction.SetTimer}.
+ * The purpose of a policy's timer, which is encoded in the opaque token of {@link RoutingAction.SetTimer}.
  *
- * @param requestId the request, below 2 to the power of 51; 0 for a timer that concerns none
- * @param attempt the number of the attempt, of which the lowest 8 bits are kept
- * @param purpose what is to be done
+ * @param requestId the request, below 2 to the power of 51; 0 for a timer that belongs to no request
+ * @param attempt the number of the attempt, of which the lowest 8 bits are encoded
+ * @param purpose the action to take when the timer fires
  */
 public record TimerToken(long requestId, int attempt, Purpose purpose) {
     private static final int PURPOSE_BITS = 4;
@@ -14,28 +14,28 @@
     private static final int PURPOSE_MASK = (1 << PURPOSE_BITS) - 1;
     private static final Purpose[] PURPOSES = Purpose.values();
 
-    /** What is to be done when the time has come; the order is part of the encoding. */
+    /** The action to take when the timer fires; the order of the constants is part of the encoding. */
     public enum Purpose {
-        /** The client gives up. */
+        /** The client's deadline is reached: end the request. */
         DEADLINE,
-        /** An engine is to be looked for again. */
+        /** Repeat the selection of an engine for the request. */
         RETRY_SELECTION,
-        /** A state has been reserved for as long as the rules allow. */
+        /** The reservation limit of a state is reached: end the request. */
         RESERVATION_LIMIT,
-        /** An attempt has taken longer than expected. */
+        /** An attempt is taking longer than expected: check whether to hedge or cancel it. */
         ATTEMPT_OVERDUE,
-        /** The subscription to endpoint updates is to be opened again. */
+        /** Open the subscription to endpoint updates again. */
         SUBSCRIBE
     }
 
-    /** The token as a number. */
+    /** Encodes the token as a number. */
     public long encode() {
         return requestId << (PURPOSE_BITS + ATTEMPT_BITS)
                 | (long) (attempt & ATTEMPT_MASK) << PURPOSE_BITS
                 | purpose.ordinal();
     }
 
-    /** The token that {@link #encode()} made a number of. */
+    /** Decodes a number that {@link #encode()} returned. */
     public static TimerToken decode(long token) {
         return new TimerToken(
                 token >>> (PURPOSE_BITS + ATTEMPT_BITS),
--- a/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
+++ b/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
@@ -34,79 +34,123 @@
 import maplerail.routing.TimerToken.Purpose;
 
 /**
- * Every decision of a gateway. Its contract is {@link RoutingPolicy} (RoutingPolicy.java).
- * <p>The regular path is D2LPM: a prompt is read by the reader with the longest cached prefix, while its
- * client has credit there, else by the least queued reader with credit; then the writer of the lowest
- * projected memory answers. Everything else handles something that went wrong, and says what.
+ * Makes every decision of a gateway. Its contract is {@link RoutingPolicy} (RoutingPolicy.java).
+ * <p>The regular path is D2LPM: a prompt is read by the reader with the longest cached prefix if its
+ * client has credit there, otherwise by the reader with credit and the shortest queue. The writer with the
+ * lowest projected memory then generates the answer. All other rules handle failures, overload or missing
+ * information, and their comments state which.
  */
 public final class D2lpmPolicy implements RoutingPolicy {
 
-    private static final double QUANTUM = 40_000; // tokens; by which every counter of a client grows (design)
-    private static final double OUTPUT_WEIGHT = 2; // of output in the deficit (design)
-    private static final double ESTIMATED_OUTPUT = 0.5; // of the most, where there is no hint
-    private static final double CACHE_MS = 20_000; // for which a prefix is believed to stay cached (design)
-    private static final double CONFIRMED = 0.5; // of an entry; it goes if a read finds less cached (design)
-    private static final int MAX_KEYS = 20_000, MAX_COPIES = 8; // bounds on the tables, far above what lives
-    private static final double RETENTION_MS = 40_000; // for which arrivals of a prefix are remembered
-    private static final long ALL_ARRIVALS = 0; // the key under which every arrival is counted
-    private static final double READ_OVERHEAD = 300; // tokens; a read's fixed cost: a step, messages
-    private static final double HISTORY = 0.8; // of a prompt, assumed to be cached at its session's home
-    private static final double HOME_SPREAD = 2, HOME_PRIOR = 8; // homes a reader's worth; arrivals assumed
-    private static final double FAR_CELL = 0.04, FAR_ZONE = 0.08; // share of memory that a move out counts as
-    private static final double WAIT_COST = 0.3; // of memory, for a wait as long as the objective
-    private static final double MAX_PLAUSIBLE = 1e7; // tokens or ms; nothing that is reported is longer
-    private static final double MAX_SAMPLES = 5, MEMORY_MS = 20_000; // that a recent mean goes back
-    private static final double OVERDUE_FAILURE = 0.6; // of a failure, for an answer that is overdue
-    private static final double MAX_FAILURE_RATE = 0.35; // above which an outlier is ejected
-    private static final double OUTLIER = 2.5, SLOW_OUTLIER = 4; // times the peers' median failures, pace
-    private static final double MIN_RELATIVE_PACE = 0.7; // so that luck draws no herd
-    private static final double HARMFUL = 0.4; // share of the shortest objective from which being slow counts
-    private static final double MAX_READ_SHARE = 0.3; // of the time to the objective, for a matched reader
-    private static final double ENOUGH = 3, SOME = 0.3; // samples to judge an engine; to count among peers
-    private static final double REMARKABLE = 1.5; // relative pace that counts with fewer samples
-    private static final double MAX_EJECTED_SHARE = 0.5; // of a role
-    private static final double EJECTION_MS = 1_000, MAX_EJECTION_MS = 8_000; // the first, the longest
-    private static final int TRIALS = 4; // successes that end an ejection; each doubles what may be in flight
-    private static final double OVERLOADED_MS = 150; // for which an engine at capacity is passed over
-    private static final double OVERDUE = 3, EARLIEST = 0.4; // times the expected; of an objective
-    private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10; // per arrival; saved up of recent ones
-    private static final double ROLE_BEHIND = 0.25; // of an objective, for the waits of a role: no hedging
-    private static final double CALM_DRIFT = 1.01; // growth, each read, of the pace without queues
-    private static final double WAIT_MS = 2_000, ROLE_WAIT_MS = 8_000; // in which waits at one, at all, fade
-    private static final double ADMIT = 0.7, QUEUED = 0.2; // of an objective: first token; queues alone
-    private static final double QUOTA_BURST_MS = 5_000; // of its quota that a tenant may use at once
-    private static final double MEDIANS_MS = 10; // for which the medians of a role are not computed again
-    private static final double SELECTION_MS = 25; // between two selections for a request that has no engine
-    private static final double MARGIN_TICKS = 3, MARGIN_MS = 4; // that a timer is set before its limit
-    private static final double SLOW_START_LOAD = 1.2; // of an engine's present capacity
-    private static final double SEND_RATE_MS = 10_000; // over which the rate of attempts is averaged
-    private static final double SUBSCRIBE_RETRY_MS = 1_000; // between two attempts at a subscription
-
-    private enum Phase { READING, HOLDING, WRITING, STREAMING, CLOSED }
-
-    /** Medians over the ready engines of a role, and the mean rate of our attempts at warm ones. */
-    private record Usual(double pace, double waitMs, double streamPace, double failures, double sendRate) {}
+    /** Tokens by which a client's grant grows at every reader when it has no credit left (D2LPM design). */
+    private static final double QUANTUM_TOKENS = 40_000;
+    /** Weight of output tokens relative to prompt tokens in the deficit (D2LPM design). */
+    private static final double OUTPUT_WEIGHT = 2;
+    /** Share of the maximum output that is assumed for a request without a hint. */
+    private static final double ESTIMATED_OUTPUT_SHARE = 0.5;
+    /** Time for which a prefix is assumed to stay cached (D2LPM design). */
+    private static final double CACHE_TTL_MS = 20_000;
+    /** Share of an assumed match; if a read finds less cached, the entry is dropped (D2LPM design). */
+    private static final double MIN_CONFIRMED_SHARE = 0.5;
+    /** Bounds of the placement tables, far above the number of entries that have not expired. */
+    private static final int MAX_KEYS = 20_000, MAX_READERS_PER_KEY = 8;
+    /** Time for which the arrivals of a prefix are counted. */
+    private static final double ARRIVAL_RETENTION_MS = 40_000;
+    /** Key under which every arrival is counted. */
+    private static final long ALL_ARRIVALS_KEY = 0;
+    /** Fixed cost of a read in tokens, for one engine step and the messages. */
+    private static final double READ_OVERHEAD_TOKENS = 300;
+    /** Share of a prompt that is assumed to be cached at the reader assigned to its session. */
+    private static final double HISTORY_SHARE = 0.8;
+    /** Assigned readers, per existing reader, of a prefix that has all arrivals; prior count of arrivals. */
+    private static final double ASSIGNMENT_SPREAD = 2, ASSIGNMENT_PRIOR = 8;
+    /** Cost of a state transfer to another cell or zone, as a share of a writer's memory. */
+    private static final double OTHER_CELL_COST = 0.04, OTHER_ZONE_COST = 0.08;
+    /** Cost of a wait as long as the objective, as a share of a writer's memory. */
+    private static final double WAIT_COST = 0.3;
+    /** Upper limit of reported values, in tokens or ms; larger ones are not plausible. */
+    private static final double MAX_PLAUSIBLE = 1e7;
+    /** Sample limit and time constant of the means of recent values. */
+    private static final double MEAN_SAMPLES = 5, MEAN_DECAY_MS = 20_000;
+    /** Weight of an overdue answer in the failure rate, relative to a failure. */
+    private static final double OVERDUE_FAILURE_WEIGHT = 0.6;
+    /** Failure rate above which an engine is ejected if it is an outlier among its peers. */
+    private static final double MAX_FAILURE_RATE = 0.35;
+    /** Multiples of the peers' median failure rate and median pace above which an engine is an outlier. */
+    private static final double OUTLIER_RATIO = 2.5, SLOW_OUTLIER_RATIO = 4;
+    /** Lower limit of a relative pace, so that a few fast samples don't attract all gateways to an engine. */
+    private static final double MIN_RELATIVE_PACE = 0.7;
+    /** Share of the shortest objective that the mean response time of an engine ejected as slow exceeds. */
+    private static final double HARMFUL_RESPONSE_SHARE = 0.4;
+    /** Share of the time left to the objective that a read may take before its reader counts as strained. */
+    private static final double MAX_READ_SHARE = 0.3;
+    /** Samples needed to judge an engine, and to include it in the medians of its peers. */
+    private static final double SUFFICIENT_SAMPLES = 3, MIN_PEER_SAMPLES = 0.3;
+    /** Relative pace that is taken into account even with fewer samples. */
+    private static final double SIGNIFICANT_PACE = 1.5;
+    /** Maximum share of the engines of a role that are ejected at the same time. */
+    private static final double MAX_EJECTED_SHARE = 0.5;
+    /** Duration of the first ejection, which doubles with each further one, and its maximum. */
+    private static final double EJECTION_MS = 1_000, MAX_EJECTION_MS = 8_000;
+    /** Successes on trial that end an ejection; each doubles the number of attempts allowed in flight. */
+    private static final int TRIAL_SUCCESSES = 4;
+    /** Time for which an engine that reported to be at capacity is avoided. */
+    private static final double OVERLOAD_AVOIDANCE_MS = 150;
+    /** Multiple of the expected time and minimum share of the objective after which an attempt is overdue. */
+    private static final double OVERDUE_MULTIPLE = 3, MIN_OVERDUE_SHARE = 0.4;
+    /** Retries earned per arrival; maximum number of retries saved up from recent arrivals. */
+    private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
+    /** Mean wait of a role, as a share of the objective, above which attempts are not hedged. */
+    private static final double CONGESTED_ROLE_SHARE = 0.25;
+    /** Factor by which the estimate of the pace without queueing grows with each read. */
+    private static final double UNLOADED_PACE_DRIFT = 1.01;
+    /** Time constants with which observed waits decay at one engine and over a whole role. */
+    private static final double WAIT_DECAY_MS = 2_000, ROLE_WAIT_DECAY_MS = 8_000;
+    /** Shares of an objective above which work is rejected: time to the first token; queueing alone. */
+    private static final double MAX_FIRST_TOKEN_SHARE = 0.7, MIN_QUEUE_SHARE = 0.2;
+    /** Time whose worth of its quota a tenant may use in one burst. */
+    private static final double QUOTA_BURST_MS = 5_000;
+    /** Time for which the medians of a role are cached. */
+    private static final double MEDIANS_TTL_MS = 10;
+    /** Interval between selections for a request without an eligible engine. */
+    private static final double RESELECTION_MS = 25;
+    /** Time by which a timer is set before its limit: ticks of the gateway's timers plus a constant. */
+    private static final double MARGIN_TICKS = 3, MARGIN_MS = 4;
+    /** Load that is sent to an engine in slow start, as a multiple of its present capacity. */
+    private static final double SLOW_START_LOAD = 1.2;
+    /** Time constant of the rates at which attempts are sent. */
+    private static final double SEND_RATE_DECAY_MS = 10_000;
+    /** Delay before another attempt to subscribe to endpoint updates. */
+    private static final double SUBSCRIBE_RETRY_MS = 1_000;
+
+    private enum Phase { READING, SELECTING_WRITER, WRITING, STREAMING, CLOSED }
+
+    /** Medians over the ready engines of a role, and this gateway's mean send rate at warm ones. */
+    private record RoleMedians(double pace, double responseMs, double streamPace, double failureRate,
+            double warmSendRate) {}
 
     private final class EngineState {
         final long id;
         Endpoint endpoint;
         EngineRole role;
-        /** Tokens that each client has used of what D2LPM granted it here. */
+        /** Tokens that each client has used of its D2LPM grant at this engine. */
         final Map<Integer, Double> usedTokens = new TreeMap<>();
-        /** Attempts in flight, oldest first; uncached tokens of reads, projected ones of streams. */
+        /** Attempts in flight, oldest first; the uncached tokens of reads and the projected tokens of
+         * streams. */
         final List<AttemptState> inFlight = new ArrayList<>();
         double queuedTokens, projectedTokens;
-        double reportedMemory = Double.NaN; // share; NaN: none reported
-        /** Milliseconds for each unit of cost, for the whole, and for each token of an answer. */
+        double reportedMemory = Double.NaN; // share in use; NaN: none reported
+        /** Milliseconds for each unit of cost, for a whole response, and for each token of an answer. */
         final DecayingAverage pace = recentMean(), responseMs = recentMean(), streamPace = recentMean();
         final DecayingAverage failureRate = recentMean();
-        final DecayingRate sendRate = new DecayingRate(SEND_RATE_MS);
-        /** Gateways that learn of a new process together must not all hold a whole token for it. */
+        final DecayingRate sendRate = new DecayingRate(SEND_RATE_DECAY_MS);
+        /** Filled randomly: gateways that learn of a new process at once must not all have a whole token for
+         * it. */
         final TokenBucket slowStart = new TokenBucket(random.nextDouble(), nowMs);
         double lastSuccessMs, overloadedUntilMs;
-        /** When the latest of those that were answered was sent: what was sent before has been overtaken. */
-        double answeredSentMs = Double.NEGATIVE_INFINITY;
-        /** Outlier detection: in service, or ejected until a time and then on trial. */
+        /** Send time of the latest answered attempt; attempts sent before it have been overtaken. */
+        double latestAnsweredSentMs = Double.NEGATIVE_INFINITY;
+        /** Outlier detection: an engine is in service, or ejected until a time and then on trial. */
         boolean ejected;
         double ejectedUntilMs;
         int ejections, successfulTrials;
@@ -124,8 +168,8 @@
         final double sentMs = nowMs;
         double cost, uncachedTokens, matchedTokens;
         boolean ended, cancelled, streaming, answered;
-        /** Overdue: excused once, as others at its engine were answered; kept, as it can't be repeated. */
-        boolean excused, kept;
+        /** If overdue: extended once, as its engine answered others; not cancelled, as not repeatable. */
+        boolean graceGranted, cancelDeferred;
 
         AttemptState(RequestState request, EngineState engine, boolean isRead) {
             this.request = request;
@@ -134,51 +178,53 @@
             this.isRead = isRead;
         }
 
-        /** A reader takes prompts in turn: an answer to a later one says that this one's is lost. */
-        boolean isOvertaken() { return engine.role == EngineRole.READER && sentMs < engine.answeredSentMs; }
+        /** Readers process prompts in order: an answer to a later prompt shows that this answer was lost. */
+        boolean isOvertaken() { return engine.role == EngineRole.READER
+                && sentMs < engine.latestAnsweredSentMs; }
 
-        boolean isQueued() { return !streaming && !cancelled && !kept && !isOvertaken(); }
+        boolean isQueued() { return !streaming && !cancelled && !cancelDeferred && !isOvertaken(); }
     }
 
     private final class RequestState {
         final RoutingEvent.RequestArrived arrival;
         final long id;
-        final RequestClass terms;
+        final RequestClass requestClass;
         final RoutingSettings.Limits limits = settings.limits();
         final int client;
-        final double objectiveMs, deadlineMs, estimatedOutput;
-        final long tieBreaker; // its session, or drawn for it
+        final double objectiveAtMs, deadlineAtMs, estimatedOutput;
+        final long tieBreaker; // its session, or a random number
         final List<AttemptState> attempts = new ArrayList<>();
         Phase phase = Phase.READING;
-        /** Readers assumed to have cached so many tokens of it for other gateways. */
-        List<EngineState> homes = List.of();
-        double homeTokens;
-        double priorityWeight; // lowered where it is over its tenant's quota
-        int inFlight;
-        /** The reader whose state waits, whether any may be held, and since when it counts as reserved. */
+        /** Readers assumed to have this many of its tokens cached because of other gateways' requests. */
+        List<EngineState> assignedReaders = List.of();
+        double assignedTokens;
+        double priorityWeight; // reduced if its tenant exceeds the quota
+        int attemptsInFlight;
+        /** The reader that holds the state for a writer. */
         EngineState stateHolder;
-        /** The writer that holds a place for it: the state goes there by itself. */
-        EngineState placeHolder;
-        boolean holdsState;
-        double reservedMs, firstTokenMs;
-        AttemptState mayHaveRun; // the first that may have been
+        /** The writer that has reserved a place for it, to which the reader moves the state unprompted. */
+        EngineState reservedWriter;
+        boolean mayHoldState; // whether any engine may hold a state for it
+        double reservedMs, firstTokenMs; // start of the state's reservation; time of the first token
+        AttemptState firstMaybeExecuted; // the first attempt that may have been executed
 
         RequestState(RoutingEvent.RequestArrived arrival, int client) {
             this.arrival = arrival;
             this.id = arrival.requestId();
-            this.terms = settings.classes().get(arrival.requestClass());
-            this.priorityWeight = terms.priorityWeight();
+            this.requestClass = settings.classes().get(arrival.requestClass());
+            this.priorityWeight = requestClass.priorityWeight();
             this.client = client;
             this.tieBreaker = arrival.session() != 0 ? arrival.session() : random.nextLong();
-            double promptMs = terms.objectiveMsPerToken() * arrival.promptTokens();
-            this.objectiveMs = nowMs + terms.objectiveMs() + promptMs;
-            this.deadlineMs = nowMs + arrival.budgetMs();
-            double tokenMs = terms.tokenObjectiveMs();
-            double hinted = tokenMs > 0 ? arrival.expectedStreamMs() / tokenMs : 0;
-            this.estimatedOutput = hinted > 0 ? hinted : ESTIMATED_OUTPUT * arrival.maxOutputTokens();
+            double promptMs = requestClass.objectiveMsPerToken() * arrival.promptTokens();
+            this.objectiveAtMs = nowMs + requestClass.objectiveMs() + promptMs;
+            this.deadlineAtMs = nowMs + arrival.budgetMs();
+            double tokenMs = requestClass.tokenObjectiveMs();
+            double hintedOutput = tokenMs > 0 ? arrival.expectedStreamMs() / tokenMs : 0;
+            this.estimatedOutput = hintedOutput > 0 ? hintedOutput
+                    : ESTIMATED_OUTPUT_SHARE * arrival.maxOutputTokens();
         }
 
-        boolean is(Idempotency idempotency) { return terms.idempotency() == idempotency; }
+        boolean is(Idempotency idempotency) { return requestClass.idempotency() == idempotency; }
 
         boolean isAnswered() { return phase == Phase.CLOSED || phase == Phase.STREAMING; }
     }
@@ -187,17 +233,19 @@
     private final SplittableRandom random;
     private final TreeMap<Long, EngineState> engines = new TreeMap<>();
     private final Map<Long, RequestState> requests = new LinkedHashMap<>();
-    private final PlacementTable<EngineState> sessions = new PlacementTable<>(MAX_KEYS, MAX_COPIES, CACHE_MS);
-    private final PlacementTable<EngineState> prefixes = new PlacementTable<>(MAX_KEYS, MAX_COPIES, CACHE_MS);
-    private final DecayingCounts arrivals = new DecayingCounts(CACHE_MS, RETENTION_MS, MAX_KEYS);
-    private final Map<EngineRole, Usual> usual = new TreeMap<>();
-    private double usualUntilMs;
-    /** Recent waits for a first token, wherever; one as long as the objective for a writer at capacity. */
-    private final DecayingAverage tokenWaits = recentMean();
-    /** The same for reads, beyond what they take at the calm pace: the least lately seen. */
+    private final PlacementTable<EngineState> sessions =
+            new PlacementTable<>(MAX_KEYS, MAX_READERS_PER_KEY, CACHE_TTL_MS);
+    private final PlacementTable<EngineState> prefixes =
+            new PlacementTable<>(MAX_KEYS, MAX_READERS_PER_KEY, CACHE_TTL_MS);
+    private final DecayingCounts arrivals = new DecayingCounts(CACHE_TTL_MS, ARRIVAL_RETENTION_MS, MAX_KEYS);
+    private final Map<EngineRole, RoleMedians> medians = new TreeMap<>();
+    private double mediansExpireMs;
+    /** Recent waits for a first token at all engines; a writer at capacity counts as a whole objective. */
+    private final DecayingAverage firstTokenWaits = recentMean();
+    /** The same for reads, less the time at the unloaded pace, which is the lowest pace of recent reads. */
     private final DecayingAverage readWaits = recentMean();
-    private double calmPace = Double.POSITIVE_INFINITY;
-    private final Map<Integer, Double> grantedTokens = new TreeMap<>(); // to each client at every reader
+    private double unloadedPace = Double.POSITIVE_INFINITY;
+    private final Map<Integer, Double> grantedTokens = new TreeMap<>(); // per client, at every reader
     private double retryBudget = RETRY_BURST;
     private final Map<Integer, TokenBucket> quotas = new TreeMap<>();
     private boolean subscribePending;
@@ -210,7 +258,7 @@
         this.random = new SplittableRandom(settings.seed());
     }
 
-    private static DecayingAverage recentMean() { return new DecayingAverage(MAX_SAMPLES, MEMORY_MS); }
+    private static DecayingAverage recentMean() { return new DecayingAverage(MEAN_SAMPLES, MEAN_DECAY_MS); }
 
     // ---- Events ----
 
@@ -218,7 +266,7 @@
     public List<RoutingAction> step(double stepMs, List<? extends RoutingEvent> events) {
         nowMs = stepMs;
         actions = new ArrayList<>();
-        if (nowMs >= usualUntilMs) usual.clear();
+        if (nowMs >= mediansExpireMs) medians.clear();
         for (RoutingEvent event : events) event.accept(new EventHandler());
         return actions;
     }
@@ -226,59 +274,60 @@
     private final class EventHandler implements RoutingEvent.Handler {
         @Override
         public void onEndpointUpdate(RoutingEvent.EndpointUpdate update) {
-            boolean restarted = update.kind() == EndpointUpdateKind.REMEMBERED;
-            if (settings.mustSubscribe() && restarted) actions.add(new RoutingAction.SubscribeEndpoints());
+            boolean remembered = update.kind() == EndpointUpdateKind.REMEMBERED;
+            if (settings.mustSubscribe() && remembered) actions.add(new RoutingAction.SubscribeEndpoints());
             if (update.kind() == EndpointUpdateKind.FAILED) {
                 if (!subscribePending) setTimer(0, 0, Purpose.SUBSCRIBE, nowMs + SUBSCRIBE_RETRY_MS);
                 subscribePending = true;
                 return;
             }
-            usual.clear();
-            List<Long> named = update.endpoints().stream().map(Endpoint::engine).toList();
-            if (update.kind() != EndpointUpdateKind.DELTA) engines.keySet().retainAll(named);
-            update.endpoints().forEach(D2lpmPolicy.this::update);
+            medians.clear();
+            List<Long> listedIds = update.endpoints().stream().map(Endpoint::engine).toList();
+            if (update.kind() != EndpointUpdateKind.DELTA) engines.keySet().retainAll(listedIds);
+            update.endpoints().forEach(D2lpmPolicy.this::updateEndpoint);
         }
 
         @Override
         public void onRequestArrived(RoutingEvent.RequestArrived arrival) {
-            arrive(arrival.cutTo(MAX_PLAUSIBLE)); // absurd figures must not poison what outlives the request
+            // Implausible values must not corrupt lasting statistics.
+            handleArrival(arrival.clampedTo(MAX_PLAUSIBLE));
         }
 
         @Override
-        public void onFirstToken(RoutingEvent.FirstToken first) {
-            // What is seen of an engine counts at once; that a few milliseconds pass does not.
-            usual.clear();
-            AttemptState attempt = inFlight(first.requestId(), first.attempt());
-            if (attempt != null && attempt.request.phase != Phase.STREAMING) stream(attempt, first);
+        public void onFirstToken(RoutingEvent.FirstToken firstToken) {
+            // New observations invalidate the cached medians; the passing of a few milliseconds does not.
+            medians.clear();
+            AttemptState attempt = findInFlight(firstToken.requestId(), firstToken.attempt());
+            if (attempt != null && attempt.request.phase != Phase.STREAMING) startStream(attempt, firstToken);
         }
 
         @Override
         public void onAttemptEnded(RoutingEvent.AttemptEnded ended) {
-            usual.clear();
-            AttemptState attempt = inFlight(ended.requestId(), ended.attempt());
-            if (attempt != null) end(attempt, ended);
+            medians.clear();
+            AttemptState attempt = findInFlight(ended.requestId(), ended.attempt());
+            if (attempt != null) endAttempt(attempt, ended);
         }
 
-        /** Any writer can tell whether a read is in flight; asked is the one that would be written to. */
+        /** Any writer's answer states whether the read is in flight; asks the one that would be selected. */
         @Override
         public void onReadOverdue(RoutingEvent.ReadOverdue read) {
-            AttemptState attempt = inFlight(read.requestId(), read.attempt());
+            AttemptState attempt = findInFlight(read.requestId(), read.attempt());
             if (attempt == null || !attempt.request.limits.placeReservations()) return;
             RequestState request = attempt.request;
-            EngineState writer = request.placeHolder != null && request.placeHolder.isReady()
-                    ? request.placeHolder : selectWriter(request, null, attempt.engine);
+            EngineState writer = request.reservedWriter != null && request.reservedWriter.isReady()
+                    ? request.reservedWriter : selectWriter(request, null, attempt.engine);
             if (writer != null) actions.add(new RoutingAction.ReservePlace(request.id, writer.id));
         }
 
         @Override
         public void onPlaceReserved(RoutingEvent.PlaceReserved place) {
             RequestState request = requests.get(place.requestId());
-            if (request != null) request.placeHolder = engines.get(place.engine());
+            if (request != null) request.reservedWriter = engines.get(place.engine());
         }
 
         @Override
         public void onRequestAbandoned(RoutingEvent.RequestAbandoned abandoned) {
-            close(requests.get(abandoned.requestId()));
+            closeRequest(requests.get(abandoned.requestId()));
         }
 
         @Override
@@ -290,8 +339,8 @@
                     subscribePending = false;
                     actions.add(new RoutingAction.SubscribeEndpoints());
                 }
-                case DEADLINE -> giveUp(request);
-                case RETRY_SELECTION -> selectAgain(request);
+                case DEADLINE -> rejectOrFail(request);
+                case RETRY_SELECTION -> reselect(request);
                 case RESERVATION_LIMIT -> onReservationLimit(request);
                 case ATTEMPT_OVERDUE -> onOverdue(request, token.attempt());
             }
@@ -306,27 +355,27 @@
         public void onPrefixCached(PrefixCached cached) {
             EngineState engine = engines.get(cached.engine());
             PlacementTable<EngineState> table = cached.session() ? sessions : prefixes;
-            if (engine != null) put(table, cached.key(), engine, cached.tokens(), cached.atMs());
+            if (engine != null) putPlacement(table, cached.key(), engine, cached.tokens(), cached.atMs());
         }
 
-        /** A peer's reads count in a reader's pace as ours do; only what this gateway sees itself ejects. */
+        /** Peers' reads count in a reader's pace like own ones, but only own observations cause ejections. */
         @Override
         public void onPeerRead(RoutingEvent.PeerRead read) {
-            usual.clear();
+            medians.clear();
             EngineState engine = engines.get(read.engine());
             if (engine == null || engine.role == EngineRole.WRITER || !(read.elapsedMs() > 0)) return;
-            engine.pace.add(read.elapsedMs() / (plausible(read.tokens()) + READ_OVERHEAD), nowMs);
+            engine.pace.add(read.elapsedMs() / (plausible(read.tokens()) + READ_OVERHEAD_TOKENS), nowMs);
             engine.responseMs.add(read.elapsedMs(), nowMs);
         }
     }
 
-    private void update(Endpoint endpoint) {
+    private void updateEndpoint(Endpoint endpoint) {
         if (endpoint.state() == EndpointState.REMOVED || endpoint.kind() >= settings.engineKinds().size()) {
             engines.remove(endpoint.engine());
             return;
         }
         EngineState engine = engines.get(endpoint.engine());
-        // A process that started anew holds nothing, and what was learned of it is of no use.
+        // A restarted process has an empty cache, and statistics of the previous process don't apply.
         if (engine == null || endpoint.startedMs() > engine.endpoint.startedMs()) {
             engine = new EngineState(endpoint.engine());
             engines.put(engine.id, engine);
@@ -339,7 +388,7 @@
         return reported > 0 ? Math.min(reported, MAX_PLAUSIBLE) : 0;
     }
 
-    private void arrive(RoutingEvent.RequestArrived arrival) {
+    private void handleArrival(RoutingEvent.RequestArrived arrival) {
         if (arrival.requestClass() >= settings.classes().size()) {
             actions.add(new RoutingAction.RejectRequest(arrival.requestId(), 0));
             return;
@@ -349,51 +398,53 @@
         RequestState request = new RequestState(arrival, client);
         if (hasTenant && isOverQuota(arrival.tenant())) request.priorityWeight *= settings.overQuotaWeight();
         requests.put(arrival.requestId(), request);
-        if (lastMomentMs(request) <= nowMs) {
-            giveUp(request);
+        if (latestAnswerMs(request) <= nowMs) {
+            rejectOrFail(request);
             return;
         }
-        arrivals.increment(ALL_ARRIVALS, nowMs);
-        if (arrival.prefix() != ALL_ARRIVALS) arrivals.increment(arrival.prefix(), nowMs);
-        double recent = Math.min(RETRY_BURST, RETRY_SHARE * arrivals.count(ALL_ARRIVALS, nowMs));
-        double shared = RETRY_BURST / Math.max(1, settings.gateways() / HOME_PRIOR); // in all as large
-        retryBudget = Math.min(Math.max(1, Math.max(recent, shared)), retryBudget + RETRY_SHARE);
-        setTimer(arrival.requestId(), 0, Purpose.DEADLINE, lastMomentMs(request));
+        arrivals.increment(ALL_ARRIVALS_KEY, nowMs);
+        if (arrival.prefix() != ALL_ARRIVALS_KEY) arrivals.increment(arrival.prefix(), nowMs);
+        double earnedLimit = Math.min(RETRY_BURST, RETRY_SHARE * arrivals.count(ALL_ARRIVALS_KEY, nowMs));
+        // The total over all gateways does not grow with their number.
+        double sharedLimit = RETRY_BURST / Math.max(1, settings.gateways() / ASSIGNMENT_PRIOR);
+        retryBudget = Math.min(Math.max(1, Math.max(earnedLimit, sharedLimit)), retryBudget + RETRY_SHARE);
+        setTimer(arrival.requestId(), 0, Purpose.DEADLINE, latestAnswerMs(request));
         EngineState reader = selectReader(request, null);
-        if (isOverloaded(request, reader)) giveUp(request);
-        else readAt(request, reader);
+        if (isOverloaded(request, reader)) rejectOrFail(request);
+        else startReadAt(request, reader);
     }
 
-    private void stream(AttemptState attempt, RoutingEvent.FirstToken first) {
+    private void startStream(AttemptState attempt, RoutingEvent.FirstToken firstToken) {
         RequestState request = attempt.request;
         request.stateHolder = null;
-        request.holdsState = false;
+        request.mayHoldState = false;
         request.firstTokenMs = nowMs;
         attempt.streaming = true;
         if (request.phase != Phase.CLOSED) request.phase = Phase.STREAMING;
-        recordResponse(attempt, first.elapsedMs());
-        tokenWaits.add(Math.min(plausible(first.elapsedMs()), request.terms.objectiveMs()), nowMs);
+        recordResponse(attempt, firstToken.elapsedMs());
+        firstTokenWaits.add(Math.min(plausible(firstToken.elapsedMs()), request.requestClass.objectiveMs()),
+                nowMs);
         recordSuccess(attempt.engine);
         cancelOthers(attempt);
     }
 
-    private void end(AttemptState attempt, RoutingEvent.AttemptEnded ended) {
+    private void endAttempt(AttemptState attempt, RoutingEvent.AttemptEnded ended) {
         RequestState request = attempt.request;
         attempt.ended = true;
-        request.inFlight--;
+        request.attemptsInFlight--;
         request.reservedMs = nowMs;
-        request.holdsState |= ended.outcome() == AttemptOutcome.PROMPT_READ;
+        request.mayHoldState |= ended.outcome() == AttemptOutcome.PROMPT_READ;
         settleLoad(attempt, ended.outcome());
         recordOutcome(attempt, ended);
-        // What an attempt that failed had held is released before the next one.
-        if (ended.outcome() != AttemptOutcome.PROMPT_READ) request.placeHolder = null;
-        if (request.phase == Phase.CLOSED) cleanUp(request);
-        else if (ended.outcome() == AttemptOutcome.COMPLETED || ended.requestClosed()) close(request);
+        // The place reserved for a failed attempt is released before the next attempt.
+        if (ended.outcome() != AttemptOutcome.PROMPT_READ) request.reservedWriter = null;
+        if (request.phase == Phase.CLOSED) releaseAndRemove(request);
+        else if (ended.outcome() == AttemptOutcome.COMPLETED || ended.requestClosed()) closeRequest(request);
         else if (ended.outcome() == AttemptOutcome.PROMPT_READ) onPromptRead(request, attempt);
         else onFailure(request, attempt, ended.outcome());
     }
 
-    private AttemptState inFlight(long requestId, int number) {
+    private AttemptState findInFlight(long requestId, int number) {
         RequestState request = requests.get(requestId);
         if (request == null || number >= request.attempts.size()) return null;
         return request.attempts.get(number).ended ? null : request.attempts.get(number);
@@ -405,80 +456,83 @@
 
     // ---- Reader: D2LPM ----
 
-    /** Sends the prompt to a reader, or selects again a little later if none can take it. */
-    private void read(RequestState request, EngineState last) {
+    /** Sends the prompt to a reader, or schedules another selection if none is eligible. */
+    private void startRead(RequestState request, EngineState previous) {
         request.phase = Phase.READING;
-        readAt(request, selectReader(request, last));
+        startReadAt(request, selectReader(request, previous));
     }
 
-    private void readAt(RequestState request, EngineState reader) {
+    private void startReadAt(RequestState request, EngineState reader) {
         if (reader == null) {
-            selectLater(request);
+            scheduleReselection(request);
             return;
         }
         AttemptState attempt = new AttemptState(request, reader, true);
         attempt.matchedTokens = matchedTokens(request, reader);
         attempt.uncachedTokens = Math.max(0, request.arrival.promptTokens() - attempt.matchedTokens);
-        attempt.cost = reader.queuedTokens + attempt.uncachedTokens + READ_OVERHEAD;
+        attempt.cost = reader.queuedTokens + attempt.uncachedTokens + READ_OVERHEAD_TOKENS;
         charge(reader, request.client, request.arrival.promptTokens());
-        if (start(attempt)) recordRead(request, reader);
-    }
-
-    private EngineState selectReader(RequestState request, EngineState last) {
-        List<EngineState> able = eligible(request, last, this::readsPrompts);
-        if (able.isEmpty()) return null;
-        int zone = preferredZone(request, able);
-        List<EngineState> near = filter(able, e -> e.endpoint.zone() == zone);
-        if (!near.isEmpty() && near.size() < able.size()) {
-            int zones = (int) able.stream().map(e -> e.endpoint.zone()).distinct().count();
-            List<EngineState> matched = longestMatch(request, near, settings.gateways() / zones);
-            EngineState here = selectWorker(request, near, matched);
-            if (!isStrained(request, here)) return here;
+        if (startAttempt(attempt)) recordRead(request, reader);
+    }
+
+    private EngineState selectReader(RequestState request, EngineState previous) {
+        List<EngineState> candidates = eligibleEngines(request, previous, this::readsPrompts);
+        if (candidates.isEmpty()) return null;
+        int zone = preferredZone(request, candidates);
+        List<EngineState> zoneReaders = filter(candidates, e -> e.endpoint.zone() == zone);
+        if (!zoneReaders.isEmpty() && zoneReaders.size() < candidates.size()) {
+            int zones = (int) candidates.stream().map(e -> e.endpoint.zone()).distinct().count();
+            List<EngineState> matched = longestMatch(request, zoneReaders, settings.gateways() / zones);
+            EngineState zoneReader = selectWorker(request, zoneReaders, matched);
+            if (!isStrained(request, zoneReader)) return zoneReader;
         }
-        List<EngineState> matched = longestMatch(request, able, settings.gateways());
-        return spill(request, selectWorker(request, able, matched), able);
+        List<EngineState> matched = longestMatch(request, candidates, settings.gateways());
+        return spill(request, selectWorker(request, candidates, matched), candidates);
     }
 
     private boolean readsPrompts(EngineState engine) {
-        return engine.role != EngineRole.WRITER || settings.limits().writersRead()
+        return engine.role != EngineRole.WRITER || settings.limits().writersCanRead()
                 && engines.values().stream().noneMatch(e -> e.isReady() && e.role != EngineRole.WRITER);
     }
 
-    /** The zone to read in: its own, unless writers elsewhere have that much more capacity. Each crossing has
-     * a price; where reads follow the writers, states leave no zone short of them. */
+    /** The zone to read in: the gateway's own, unless the advantage of another zone's least loaded writer
+     * exceeds the transfer cost. As reads follow the writers' capacity, states need not leave a zone for
+     * lack of writers. */
     private int preferredZone(RequestState request, List<EngineState> readers) {
-        double average = averageReported();
-        List<EngineState> writers = eligible(request, null, e -> e.role != EngineRole.READER
+        double averageMemory = averageReportedMemory();
+        List<EngineState> writers = eligibleEngines(request, null, e -> e.role != EngineRole.READER
                 && readers.stream().anyMatch(r -> r.endpoint.zone() == e.endpoint.zone()));
-        EngineState best = lowest(writers, e -> load(e, request, average)
-                + (e.endpoint.zone() == settings.zone() ? 0 : FAR_ZONE), 0);
+        EngineState best = lowest(writers, e -> writerLoad(e, request, averageMemory)
+                + (e.endpoint.zone() == settings.zone() ? 0 : OTHER_ZONE_COST), 0);
         return best == null ? settings.zone() : best.endpoint.zone();
     }
 
-    /** What a writer has taken on, as a share of its memory; streams of other gateways show in its waits. */
-    private double load(EngineState writer, RequestState request, double average) {
-        double waits = waitMs(writer) / request.terms.objectiveMs();
-        return projectedShare(writer, request, average) + WAIT_COST * waits;
+    /** A writer's load as a share of its memory; streams of other gateways show in its waits. */
+    private double writerLoad(EngineState writer, RequestState request, double averageMemory) {
+        double waitShare = waitMs(writer) / request.requestClass.objectiveMs();
+        return projectedShare(writer, request, averageMemory) + WAIT_COST * waitShare;
     }
 
-    private double averageReported() {
+    private double averageReportedMemory() {
         return engines.values().stream().filter(e -> e.isReady() && !Double.isNaN(e.reportedMemory))
                 .mapToDouble(e -> e.reportedMemory).average().orElse(0);
     }
 
-    /** SelectWorker of the paper's Algorithm 2. */
-    private EngineState selectWorker(RequestState request, List<EngineState> able, List<EngineState> match) {
+    /** SelectWorker, Algorithm 2 of the D2LPM paper. */
+    private EngineState selectWorker(RequestState request, List<EngineState> candidates,
+            List<EngineState> matched) {
         int client = request.client;
-        double most = able.stream().mapToDouble(e -> credit(e, client)).max().orElse(0);
-        if (most <= 0) grantedTokens.merge(client, QUANTUM * (Math.floor(-most / QUANTUM) + 1), Double::sum);
-        EngineState holder = leastQueued(match, request);
-        return holder != null ? holder : leastQueued(able, request);
+        double maxCredit = candidates.stream().mapToDouble(e -> credit(e, client)).max().orElse(0);
+        if (maxCredit <= 0) grantedTokens.merge(client,
+                QUANTUM_TOKENS * (Math.floor(-maxCredit / QUANTUM_TOKENS) + 1), Double::sum);
+        EngineState matchedReader = leastQueued(matched, request);
+        return matchedReader != null ? matchedReader : leastQueued(candidates, request);
     }
 
-    /** What a client has left at a reader; one not used yet, as a new process, has a quantum at most. */
+    /** A client's remaining tokens at a reader; at most a quantum at one not used yet, as a new process. */
     private double credit(EngineState engine, int client) {
         double granted = grantedTokens.getOrDefault(client, 0.0);
-        return granted - engine.usedTokens.getOrDefault(client, Math.max(0, granted - QUANTUM));
+        return granted - engine.usedTokens.getOrDefault(client, Math.max(0, granted - QUANTUM_TOKENS));
     }
 
     private void charge(EngineState engine, int client, double tokens) {
@@ -486,85 +540,93 @@
         engine.usedTokens.put(client, used + tokens);
     }
 
-    /** Exception to D2LPM: a strained reader gives way to one that is expected to take under half as long. It
-     * relieves the holder of a popular prefix, at the price of caching the prefix at more readers. */
-    private EngineState spill(RequestState request, EngineState chosen, List<EngineState> able) {
+    /** Exception to D2LPM: a strained reader is replaced by one with less than half its expected time (less
+     * than its time if it is slow). This relieves the reader of a popular prefix, at the cost of caching the
+     * prefix at more readers. */
+    private EngineState spill(RequestState request, EngineState chosen, List<EngineState> candidates) {
         if (!isStrained(request, chosen)) return chosen;
-        double limitMs = expectedMs(request, chosen) / (relativePace(chosen) >= REMARKABLE ? 1 : 2);
-        EngineState other = lowest(able, e -> expectedMs(request, e), random.nextLong());
-        return expectedMs(request, other) < limitMs ? other : chosen;
+        double limitMs = expectedReadMs(request, chosen) / (relativePace(chosen) >= SIGNIFICANT_PACE ? 1 : 2);
+        EngineState fastest = lowest(candidates, e -> expectedReadMs(request, e), random.nextLong());
+        return expectedReadMs(request, fastest) < limitMs ? fastest : chosen;
     }
 
-    /** Slow, or expected to use up the time to the objective. */
+    /** True if a reader is slow, or expected to need too much of the time left to the objective. */
     private boolean isStrained(RequestState request, EngineState reader) {
-        return relativePace(reader) >= REMARKABLE
-                || expectedMs(request, reader) > MAX_READ_SHARE * (request.objectiveMs - nowMs);
+        return relativePace(reader) >= SIGNIFICANT_PACE
+                || expectedReadMs(request, reader) > MAX_READ_SHARE * (request.objectiveAtMs - nowMs);
     }
 
-    private double expectedMs(RequestState request, EngineState reader) {
-        return readMs(reader, reader.queuedTokens + neededTokens(request, reader));
+    private double expectedReadMs(RequestState request, EngineState reader) {
+        return readTimeMs(reader, reader.queuedTokens + neededTokens(request, reader));
     }
 
-    /** What a request has to have read at a reader, with the fixed cost of a read. */
+    /** The uncached tokens of a request at a reader plus the fixed cost of a read. */
     private double neededTokens(RequestState request, EngineState reader) {
-        return Math.max(0, request.arrival.promptTokens() - matchedTokens(request, reader)) + READ_OVERHEAD;
+        return Math.max(0, request.arrival.promptTokens() - matchedTokens(request, reader))
+                + READ_OVERHEAD_TOKENS;
     }
 
-    private double readMs(EngineState reader, double tokens) {
-        double pace = usual(reader).pace;
+    private double readTimeMs(EngineState reader, double tokens) {
+        double pace = medians(reader).pace;
         return Double.isNaN(pace) ? 0 : pace * relativePace(reader) * tokens;
     }
 
-    /** By own reads queued, in uncached tokens, by the pace seen; equals by the session's hash. */
-    private EngineState leastQueued(List<EngineState> among, RequestState request) {
-        List<EngineState> credited = filter(among, e -> credit(e, request.client) > 0);
-        return lowest(credited, e -> (e.queuedTokens + READ_OVERHEAD) * relativePace(e), request.tieBreaker);
+    /** The reader with credit whose queue of own reads takes least time; ties by the session's hash. */
+    private EngineState leastQueued(List<EngineState> candidates, RequestState request) {
+        List<EngineState> credited = filter(candidates, e -> credit(e, request.client) > 0);
+        return lowest(credited, e -> (e.queuedTokens + READ_OVERHEAD_TOKENS) * relativePace(e),
+                request.tieBreaker);
     }
 
-    /** The able readers with the longest match, as far as known or likely; else the key's homes. */
-    private List<EngineState> longestMatch(RequestState request, List<EngineState> able, int gateways) {
-        // With more history than prefix the session's home is what all gateways agree on.
+    /** The candidates with the longest known or assumed match; without any, the key's assigned readers. */
+    private List<EngineState> longestMatch(RequestState request, List<EngineState> candidates, int gateways) {
+        // With more history than prefix all gateways use the reader assigned to the session.
         RoutingEvent.RequestArrived arrival = request.arrival;
-        boolean history = arrival.promptTokens() > 2 * arrival.prefixTokens() && arrival.session() != 0;
-        long key = history ? arrival.session() : arrival.prefix();
-        double seen = arrivals.count(key, nowMs);
-        List<EngineState> homes = homes(key, history ? 1 : homeCount(seen, able.size()), able);
+        boolean hasHistory = arrival.promptTokens() > 2 * arrival.prefixTokens() && arrival.session() != 0;
+        long key = hasHistory ? arrival.session() : arrival.prefix();
+        double recentArrivals = arrivals.count(key, nowMs);
+        List<EngineState> assigned = assignedReaders(key,
+                hasHistory ? 1 : assignedCount(recentArrivals, candidates.size()), candidates);
         boolean oneZone = gateways < settings.gateways();
-        double byOthers = (oneZone ? seen - 1 : seen) * (gateways - 1);
-        request.homes = gateways > 1 && (history || byOthers > homes.size()) ? homes : List.of();
-        request.homeTokens = history ? HISTORY * arrival.promptTokens() : arrival.prefixTokens();
-        double longest = able.stream().mapToDouble(e -> matchedTokens(request, e)).max().orElse(0);
-        return longest > 0 ? filter(able, e -> matchedTokens(request, e) >= longest) : homes;
+        double arrivalsElsewhere = (oneZone ? recentArrivals - 1 : recentArrivals) * (gateways - 1);
+        request.assignedReaders = gateways > 1 && (hasHistory || arrivalsElsewhere > assigned.size())
+                ? assigned : List.of();
+        request.assignedTokens = hasHistory ? HISTORY_SHARE * arrival.promptTokens() : arrival.prefixTokens();
+        double longest = candidates.stream().mapToDouble(e -> matchedTokens(request, e)).max().orElse(0);
+        return longest > 0 ? filter(candidates, e -> matchedTokens(request, e) >= longest) : assigned;
     }
 
-    /** The more of the recent arrivals a prefix has, the more homes; one arrival alone asks for one. */
-    private double homeCount(double seen, int readers) {
-        double all = HOME_SPREAD * readers;
-        return Math.ceil(all * seen / (arrivals.count(ALL_ARRIVALS, nowMs) + Math.max(HOME_PRIOR, all)));
+    /** Grows with a prefix's share of recent arrivals; a single arrival is assigned one reader. */
+    private double assignedCount(double recentArrivals, int readers) {
+        double maxAssigned = ASSIGNMENT_SPREAD * readers;
+        return Math.ceil(maxAssigned * recentArrivals
+                / (arrivals.count(ALL_ARRIVALS_KEY, nowMs) + Math.max(ASSIGNMENT_PRIOR, maxAssigned)));
     }
 
-    private static List<EngineState> homes(long key, double count, List<EngineState> able) {
-        return able.stream().sorted(Comparator.comparingLong(e -> RendezvousHash.weight(key, e.id)))
+    private static List<EngineState> assignedReaders(long key, double count, List<EngineState> candidates) {
+        return candidates.stream().sorted(Comparator.comparingLong(e -> RendezvousHash.weight(key, e.id)))
                 .limit(key == 0 ? 0 : (long) Math.max(1, count)).toList();
     }
 
     private double matchedTokens(RequestState request, EngineState engine) {
         double session = sessions.amount(request.arrival.session(), engine, nowMs);
         double prefix = prefixes.amount(request.arrival.prefix(), engine, nowMs);
-        if (request.homes.contains(engine)) prefix = Math.max(prefix, request.homeTokens);
+        if (request.assignedReaders.contains(engine)) prefix = Math.max(prefix, request.assignedTokens);
         return Math.min(Math.max(session, prefix), request.arrival.promptTokens());
     }
 
     private void recordRead(RequestState request, EngineState reader) {
-        put(sessions, request.arrival.session(), reader, request.arrival.promptTokens(), nowMs);
-        put(prefixes, request.arrival.prefix(), reader, request.arrival.prefixTokens(), nowMs);
+        putPlacement(sessions, request.arrival.session(), reader, request.arrival.promptTokens(), nowMs);
+        putPlacement(prefixes, request.arrival.prefix(), reader, request.arrival.prefixTokens(), nowMs);
     }
 
-    private void put(PlacementTable<EngineState> to, long key, EngineState at, double tokens, double readMs) {
-        if (key != 0 && tokens > 0) to.put(key, new PlacementTable.Placement<>(at, tokens, readMs), nowMs);
+    private void putPlacement(PlacementTable<EngineState> table, long key, EngineState engine, double tokens,
+            double readMs) {
+        if (key != 0 && tokens > 0)
+            table.put(key, new PlacementTable.Placement<>(engine, tokens, readMs), nowMs);
     }
 
-    private void forget(RequestState request, EngineState engine) {
+    private void removePlacements(RequestState request, EngineState engine) {
         sessions.remove(request.arrival.session(), engine);
         prefixes.remove(request.arrival.prefix(), engine);
     }
@@ -572,64 +634,71 @@
     // ---- Writer: lowest projected memory, selected when the prompt has been read ----
 
     private void onPromptRead(RequestState request, AttemptState attempt) {
-        if (request.phase == Phase.WRITING || request.phase == Phase.HOLDING) return;
+        if (request.phase == Phase.WRITING || request.phase == Phase.SELECTING_WRITER) return;
         request.stateHolder = attempt.engine;
         cancelOthers(attempt);
-        write(request, null);
+        startWrite(request, null);
     }
 
-    private void write(RequestState request, EngineState last) {
-        request.phase = Phase.HOLDING;
-        EngineState held = request.placeHolder;
-        request.placeHolder = null;
-        boolean hasPlace = held != null && held != last && held.isReady() && mayBeSentTo(request, held);
-        EngineState writer = hasPlace ? held : selectWriter(request, last, request.stateHolder);
-        if (writer != null && start(new AttemptState(request, writer, false))) request.phase = Phase.WRITING;
-        else if (request.phase == Phase.HOLDING) selectLater(request);
+    private void startWrite(RequestState request, EngineState previous) {
+        request.phase = Phase.SELECTING_WRITER;
+        EngineState reserved = request.reservedWriter;
+        request.reservedWriter = null;
+        boolean useReserved = reserved != null && reserved != previous && reserved.isReady()
+                && mayBeSentTo(request, reserved);
+        EngineState writer = useReserved ? reserved : selectWriter(request, previous, request.stateHolder);
+        if (writer != null && startAttempt(new AttemptState(request, writer, false)))
+            request.phase = Phase.WRITING;
+        else if (request.phase == Phase.SELECTING_WRITER) scheduleReselection(request);
     }
 
-    private EngineState selectWriter(RequestState request, EngineState last, EngineState holder) {
-        double average = averageReported();
-        List<EngineState> able = eligible(request, last, e -> e.role != EngineRole.READER);
-        int near = able.isEmpty() ? 0 : nearCell(holder, able);
-        return lowest(able, e -> load(e, request, average) + distance(holder, e, near), random.nextLong());
+    private EngineState selectWriter(RequestState request, EngineState previous, EngineState stateHolder) {
+        double averageMemory = averageReportedMemory();
+        List<EngineState> candidates = eligibleEngines(request, previous, e -> e.role != EngineRole.READER);
+        int nearCell = candidates.isEmpty() ? 0 : nearCell(stateHolder, candidates);
+        return lowest(candidates, e -> writerLoad(e, request, averageMemory)
+                + transferCost(stateHolder, e, nearCell), random.nextLong());
     }
 
-    /** The cell that counts as near: the reader's own, or where that has few writers so often another that
-     * all writers get as much; gateways rarely see them full, and crowd them. Harms where cells differ. */
-    private int nearCell(EngineState reader, List<EngineState> able) {
+    /** The cell without transfer cost: the reader's own. If that has few writers, another one is drawn with a
+     * probability that balances load over all writers, as a gateway rarely observes that a cell's writers are
+     * full and would overload them. Harmful where the cells are not alike. */
+    private int nearCell(EngineState reader, List<EngineState> candidates) {
         if (reader == null) return -1;
         List<EngineState> readers = peers(reader);
-        int own = reader.endpoint.cell();
-        if (random.nextDouble() * share(own, readers) >= -spare(own, able, readers)) return own;
-        // A race of exponential times: each cell wins as often as its spare share says.
-        return lowest(able, e -> -Math.log(random.nextDouble()) * share(e.endpoint.cell(), able)
-                / Math.max(0, spare(e.endpoint.cell(), able, readers)), 0).endpoint.cell();
+        int ownCell = reader.endpoint.cell();
+        if (random.nextDouble() * cellShare(ownCell, readers) >= -cellSurplus(ownCell, candidates, readers))
+            return ownCell;
+        // The minimum of exponential variates selects each cell in proportion to its surplus of writers.
+        return lowest(candidates,
+                e -> -Math.log(random.nextDouble()) * cellShare(e.endpoint.cell(), candidates)
+                / Math.max(0, cellSurplus(e.endpoint.cell(), candidates, readers)), 0).endpoint.cell();
     }
 
-    private static double spare(int cell, List<EngineState> writers, List<EngineState> readers) {
-        return share(cell, writers) - share(cell, readers);
+    private static double cellSurplus(int cell, List<EngineState> writers, List<EngineState> readers) {
+        return cellShare(cell, writers) - cellShare(cell, readers);
     }
 
-    private static double share(int cell, List<EngineState> among) {
-        return among.stream().filter(e -> e.endpoint.cell() == cell).count() / Math.max(1.0, among.size());
+    private static double cellShare(int cell, List<EngineState> group) {
+        return group.stream().filter(e -> e.endpoint.cell() == cell).count()
+                / Math.max(1.0, group.size());
     }
 
-    /** Own streams, each as its prompt and the estimate of its output, this one, and the last report. */
-    private double projectedShare(EngineState engine, RequestState request, double average) {
-        double memory = Math.max(1, settings.engineKinds().get(engine.endpoint.kind()).memoryTokens());
-        double own = engine.projectedTokens + request.arrival.promptTokens() + request.estimatedOutput;
-        double reported = Double.isNaN(engine.reportedMemory) ? average : engine.reportedMemory;
-        return own / memory * relativeStreamPace(engine) + reported;
+    /** Memory share of own streams and this request, by prompt and estimated output, plus the last report. */
+    private double projectedShare(EngineState engine, RequestState request, double averageMemory) {
+        double memoryTokens = Math.max(1, settings.engineKinds().get(engine.endpoint.kind()).memoryTokens());
+        double ownTokens = engine.projectedTokens + request.arrival.promptTokens() + request.estimatedOutput;
+        double reported = Double.isNaN(engine.reportedMemory) ? averageMemory : engine.reportedMemory;
+        return ownTokens / memoryTokens * relativeStreamPace(engine) + reported;
     }
 
     private static double projectedTokens(RequestState request) {
         return request.arrival.promptTokens() + request.estimatedOutput;
     }
 
-    private static double distance(EngineState from, EngineState to, int near) {
-        if (from == null || to.endpoint.cell() == near) return 0;
-        return from.endpoint.zone() == to.endpoint.zone() ? FAR_CELL : FAR_ZONE;
+    private static double transferCost(EngineState from, EngineState to, int nearCell) {
+        if (from == null || to.endpoint.cell() == nearCell) return 0;
+        return from.endpoint.zone() == to.endpoint.zone() ? OTHER_CELL_COST : OTHER_ZONE_COST;
     }
 
     // ---- Health: outlier detection against peers of the role ----
@@ -641,14 +710,15 @@
         switch (ended.outcome()) {
             case PROMPT_READ -> {
                 attempt.answered = true;
-                // What was really read: other gateways' prompts decide what stays cached.
-                double read = Math.max(0, request.arrival.promptTokens() - plausible(ended.cachedTokens()));
-                attempt.cost += read - attempt.uncachedTokens;
+                // The tokens that were actually read: other gateways' prompts can evict cached prefixes.
+                double readTokens =
+                        Math.max(0, request.arrival.promptTokens() - plausible(ended.cachedTokens()));
+                attempt.cost += readTokens - attempt.uncachedTokens;
                 recordResponse(attempt, ended.elapsedMs());
                 recordSuccess(engine);
-                if (ended.cachedTokens() < CONFIRMED * attempt.matchedTokens) {
-                    // A cache that was flushed or is too small: what else we assume there is doubtful too.
-                    forget(request, engine);
+                if (ended.cachedTokens() < MIN_CONFIRMED_SHARE * attempt.matchedTokens) {
+                    // The cache was flushed or is too small: other assumptions on it are unreliable as well.
+                    removePlacements(request, engine);
                     recordRead(request, engine);
                 }
             }
@@ -658,69 +728,73 @@
                 if (request.estimatedOutput >= 1 && pace >= 0) engine.streamPace.add(pace, nowMs);
             }
             case OVERLOADED -> {
-                engine.overloadedUntilMs = nowMs + OVERLOADED_MS;
-                (attempt.isRead ? readWaits : tokenWaits).add(request.terms.objectiveMs(), nowMs);
+                engine.overloadedUntilMs = nowMs + OVERLOAD_AVOIDANCE_MS;
+                (attempt.isRead ? readWaits : firstTokenWaits).add(request.requestClass.objectiveMs(), nowMs);
             }
             case ERROR, RESET, UNREACHABLE, TIMEOUT -> recordFailure(attempt);
-            case STATE_LOST, CANCELLED, NOT_SENT -> { } // nothing about the engine
+            case STATE_LOST, CANCELLED, NOT_SENT -> { } // no information on the engine's health
         }
     }
 
     private void recordResponse(AttemptState attempt, double elapsedMs) {
         if (!(elapsedMs > 0 && elapsedMs < MAX_PLAUSIBLE) || !(attempt.cost > 0)) return;
         EngineState engine = attempt.engine;
-        engine.answeredSentMs = Math.max(engine.answeredSentMs, attempt.sentMs);
+        engine.latestAnsweredSentMs = Math.max(engine.latestAnsweredSentMs, attempt.sentMs);
         if (attempt.isRead) {
-            calmPace = Math.min(elapsedMs / attempt.cost, calmPace * CALM_DRIFT);
-            double waitMs = elapsedMs - calmPace * attempt.cost;
-            readWaits.add(Math.min(waitMs, attempt.request.terms.objectiveMs()), nowMs);
+            unloadedPace = Math.min(elapsedMs / attempt.cost, unloadedPace * UNLOADED_PACE_DRIFT);
+            double waitMs = elapsedMs - unloadedPace * attempt.cost;
+            readWaits.add(Math.min(waitMs, attempt.request.requestClass.objectiveMs()), nowMs);
         }
         engine.pace.add(elapsedMs / attempt.cost, nowMs);
         engine.responseMs.add(elapsedMs, nowMs);
-        // So slow that objectives are at stake: a queue alone does not eject.
-        double shortest = settings.classes().stream().mapToDouble(RequestClass::objectiveMs).min().orElse(0);
-        boolean slow = relativePace(engine) > SLOW_OUTLIER && engine.responseMs.mean() > HARMFUL * shortest;
-        if (slow && !isWarmingUp(engine)) eject(engine, "slow"); // a new process is slow by nature
+        // Ejects only if the engine is slow enough to endanger objectives, not for a queue alone.
+        double shortestObjectiveMs =
+                settings.classes().stream().mapToDouble(RequestClass::objectiveMs).min().orElse(0);
+        boolean slow = relativePace(engine) > SLOW_OUTLIER_RATIO
+                && engine.responseMs.mean() > HARMFUL_RESPONSE_SHARE * shortestObjectiveMs;
+        if (slow && !isWarmingUp(engine)) eject(engine, "slow"); // a new process is expected to be slow
     }
 
     private double streamPace(RequestState request) {
         return (nowMs - request.firstTokenMs) / request.estimatedOutput;
     }
 
-    /** How slowly an engine streams against its peers, running streams counted; 1 if unknown. */
+    /** An engine's time per token relative to its peers, running streams included; 1 if unknown. */
     private double relativeStreamPace(EngineState engine) {
-        double usual = usual(engine).streamPace;
-        double running = engine.inFlight.stream().filter(a -> a.streaming && a.request.estimatedOutput >= 1)
+        double medianPace = medians(engine).streamPace;
+        double runningPace = engine.inFlight.stream()
+                .filter(a -> a.streaming && a.request.estimatedOutput >= 1)
                 .mapToDouble(a -> streamPace(a.request)).average().orElse(0);
-        double least = Math.max(MIN_RELATIVE_PACE, usual > 0 ? running / usual : 0);
-        return Math.max(least, relative(engine.streamPace, usual));
+        double minimum = Math.max(MIN_RELATIVE_PACE, medianPace > 0 ? runningPace / medianPace : 0);
+        return Math.max(minimum, relativeToMedian(engine.streamPace, medianPace));
     }
 
-    /** An engine's pace against the median of its peers; 1 while too little is known. */
+    /** An engine's pace relative to the median of its peers; 1 while there are too few samples. */
     private double relativePace(EngineState engine) {
-        return relative(engine.pace, usual(engine).pace);
+        return relativeToMedian(engine.pace, medians(engine).pace);
     }
 
-    /** Few samples count against one usual one, and not at all while they are unremarkable. */
-    private double relative(DecayingAverage seen, double usual) {
-        double weight = seen.weight(nowMs);
-        double relative = usual > 0 ? (weight * seen.mean() / usual + 1) / (weight + 1) : 1;
-        return weight < ENOUGH && relative < REMARKABLE ? 1 : relative;
+    /** Ratio to the median, smoothed by one sample at it; 1 for few samples with a small deviation. */
+    private double relativeToMedian(DecayingAverage average, double median) {
+        double weight = average.weight(nowMs);
+        double relative = median > 0 ? (weight * average.mean() / median + 1) / (weight + 1) : 1;
+        return weight < SUFFICIENT_SAMPLES && relative < SIGNIFICANT_PACE ? 1 : relative;
     }
 
-    private Usual usual(EngineState engine) {
-        if (usual.isEmpty()) usualUntilMs = nowMs + MEDIANS_MS;
-        return usual.computeIfAbsent(engine.role, role -> {
+    private RoleMedians medians(EngineState engine) {
+        if (medians.isEmpty()) mediansExpireMs = nowMs + MEDIANS_TTL_MS;
+        return medians.computeIfAbsent(engine.role, role -> {
             List<EngineState> peers = peers(engine);
             double warmRate = peers.stream().filter(e -> !isWarmingUp(e))
                     .mapToDouble(e -> e.sendRate.perMs(nowMs)).average().orElse(0);
-            return new Usual(median(peers, e -> e.pace), median(peers, e -> e.responseMs),
+            return new RoleMedians(median(peers, e -> e.pace), median(peers, e -> e.responseMs),
                     median(peers, e -> e.streamPace), median(peers, e -> e.failureRate), warmRate);
         });
     }
 
-    private double median(List<EngineState> among, Function<EngineState, DecayingAverage> of) {
-        var means = among.stream().map(of).mapToDouble(mean -> mean.meanOr(SOME, Double.NaN, nowMs));
+    private double median(List<EngineState> group, Function<EngineState, DecayingAverage> metric) {
+        var means = group.stream().map(metric)
+                .mapToDouble(mean -> mean.meanOr(MIN_PEER_SAMPLES, Double.NaN, nowMs));
         return Medians.lowerMedian(means, Double.NaN);
     }
 
@@ -732,20 +806,21 @@
         engine.lastSuccessMs = nowMs;
         engine.failureRate.add(0, nowMs);
         boolean onTrial = engine.ejected && nowMs >= engine.ejectedUntilMs;
-        if (!onTrial || ++engine.successfulTrials < TRIALS) return;
+        if (!onTrial || ++engine.successfulTrials < TRIAL_SUCCESSES) return;
         engine.ejected = false;
         engine.ejections = 0;
     }
 
     private void recordFailure(AttemptState attempt) {
         EngineState engine = attempt.engine;
-        // Silence says less of an engine that we seldom hear anyway.
-        boolean certain = attempt.ended || engine.failureRate.weight(nowMs) >= ENOUGH;
-        engine.failureRate.add(certain ? 1 : OVERDUE_FAILURE, nowMs);
-        if (attempt.isRead) forget(attempt.request, engine);
+        // A missing answer is weaker evidence for an engine that this gateway seldom uses.
+        boolean certain = attempt.ended || engine.failureRate.weight(nowMs) >= SUFFICIENT_SAMPLES;
+        engine.failureRate.add(certain ? 1 : OVERDUE_FAILURE_WEIGHT, nowMs);
+        if (attempt.isRead) removePlacements(attempt.request, engine);
         double weight = engine.failureRate.weight(nowMs);
         double rate = engine.failureRate.mean() * weight / (weight + 1);
-        if (rate > MAX_FAILURE_RATE && !(rate <= OUTLIER * usual(engine).failures)) eject(engine, "failing");
+        if (rate > MAX_FAILURE_RATE && !(rate <= OUTLIER_RATIO * medians(engine).failureRate))
+            eject(engine, "failing");
     }
 
     private void eject(EngineState engine, String reason) {
@@ -754,8 +829,9 @@
         if (filter(peers, e -> e.ejected || e == engine).size() > MAX_EJECTED_SHARE * peers.size()) return;
         engine.ejected = true;
         double doubledMs = EJECTION_MS * (1 << Math.min(engine.ejections, 10));
-        double leastMs = Math.max(doubledMs, 1 / usual(engine).sendRate); // for an attempt to come by
-        engine.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, leastMs);
+        // Long enough to expect one attempt of this gateway.
+        double minimumMs = Math.max(doubledMs, 1 / medians(engine).warmSendRate);
+        engine.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, minimumMs);
         engine.ejections++;
         engine.successfulTrials = 0;
         engine.pace.resetWeight(1);
@@ -764,70 +840,74 @@
         actions.add(new RoutingAction.LogMessage(line + " failures=" + engine.failureRate.mean()));
     }
 
-    /** At capacity: not now. In service: yes. Ejected: no. On trial: as much as its successes allow. */
-    private boolean admits(EngineState engine, RequestState request) {
+    /** False at capacity or while ejected; on trial limited by its successes; otherwise true. */
+    private boolean acceptsWork(EngineState engine, RequestState request) {
         if (nowMs < engine.overloadedUntilMs || !engine.ejected) return nowMs >= engine.overloadedUntilMs;
-        // A trial with work that could not be sent again: only where no other work comes.
+        // Work that can't be repeated is used for a trial only if there was no other work for a while.
         boolean costly = request.is(Idempotency.NON_IDEMPOTENT) && engine.role != EngineRole.READER;
         double trialMs = engine.ejectedUntilMs + (costly ? MAX_EJECTION_MS : 0);
         return nowMs >= trialMs && engine.inFlight.size() < 1 << engine.successfulTrials;
     }
 
-    // ---- Eligibility: every attempt passes here ----
+    // ---- Eligibility: applies to every attempt ----
 
-    /** Engines of a role that may be sent to; healthy ones, and others than the last, if there are any. */
-    private List<EngineState> eligible(RequestState request, EngineState last, Predicate<EngineState> role) {
-        List<EngineState> open = filter(engines.values().stream().toList(), e -> e.isReady() && role.test(e)
-                && hasSlowStartCapacity(e) && mayBeSentTo(request, e));
-        List<EngineState> others = filter(open, e -> e != last);
-        List<EngineState> healthy = filter(others, e -> admits(e, request));
+    /** Engines of a role that may be sent to, if possible healthy ones other than the previous one. */
+    private List<EngineState> eligibleEngines(RequestState request, EngineState previous,
+            Predicate<EngineState> role) {
+        List<EngineState> available = filter(engines.values().stream().toList(),
+                e -> e.isReady() && role.test(e) && hasSlowStartCapacity(e) && mayBeSentTo(request, e));
+        List<EngineState> alternatives = filter(available, e -> e != previous);
+        List<EngineState> healthy = filter(alternatives, e -> acceptsWork(e, request));
         List<EngineState> untried = filter(healthy, e -> !wasUnansweredAt(request, e));
         if (!untried.isEmpty()) return untried;
-        return !healthy.isEmpty() ? healthy : others.isEmpty() ? open : others;
+        return !healthy.isEmpty() ? healthy : alternatives.isEmpty() ? available : alternatives;
     }
 
-    /** It would go, in turns with another such, to an engine that loses what is sent to it. */
+    /** Prevents that retries alternate between two engines that lose what is sent to them. */
     private static boolean wasUnansweredAt(RequestState request, EngineState engine) {
         return request.attempts.stream().anyMatch(a -> a.engine == engine && !a.answered);
     }
 
-    private boolean start(AttemptState attempt) {
+    private boolean startAttempt(AttemptState attempt) {
         RequestState request = attempt.request;
         EngineState engine = attempt.engine;
         if (request.attempts.size() >= request.limits.maxAttempts() || request.phase == Phase.CLOSED
-                || request.inFlight > 0 && !request.limits.hedging()) {
-            giveUp(request);
+                || request.attemptsInFlight > 0 && !request.limits.hedging()) {
+            rejectOrFail(request);
             return false;
         }
         engine.sendRate.add(1, nowMs);
         if (isWarmingUp(engine)) engine.slowStart.consume();
         if (!attempt.isRead) attempt.cost = 1;
         request.attempts.add(attempt);
-        request.inFlight++;
+        request.attemptsInFlight++;
         engine.inFlight.add(attempt);
         engine.queuedTokens += attempt.uncachedTokens;
         if (!attempt.isRead) engine.projectedTokens += projectedTokens(request);
-        // An attempt at a pure reader has no effect, however it ends.
-        if (engine.role != EngineRole.READER && request.mayHaveRun == null) request.mayHaveRun = attempt;
-        actions.add(new RoutingAction.StartAttempt(request.id, engine.id, request.deadlineMs));
-        checkOverdueAt(attempt, nowMs + patienceMs(attempt));
+        // An attempt at a pure reader has no effect, regardless of its outcome.
+        if (engine.role != EngineRole.READER && request.firstMaybeExecuted == null)
+            request.firstMaybeExecuted = attempt;
+        actions.add(new RoutingAction.StartAttempt(request.id, engine.id, request.deadlineAtMs));
+        setOverdueTimer(attempt, nowMs + overdueAfterMs(attempt));
         return true;
     }
 
-    /** Not idempotent and maybe executed, or with a key by which repeats are no longer dropped. */
+    /** True if maybe executed and not idempotent, or with a key that engines no longer recognise. */
     private boolean isUnrepeatable(RequestState request) {
-        AttemptState first = request.mayHaveRun;
+        AttemptState first = request.firstMaybeExecuted;
         if (first == null || request.is(Idempotency.IDEMPOTENT)) return false;
-        return request.is(Idempotency.NON_IDEMPOTENT) || nowMs >= first.sentMs + request.terms.keyTtlMs();
+        return request.is(Idempotency.NON_IDEMPOTENT)
+                || nowMs >= first.sentMs + request.requestClass.keyTtlMs();
     }
 
-    /** What can't be repeated goes nowhere; with a key, only where all that may have run is known. */
+    /** An unrepeatable request may only be sent to readers; one with a key only to an engine that
+     * recognises the key from all attempts that may have been executed. */
     private boolean mayBeSentTo(RequestState request, EngineState engine) {
         boolean keyed = request.is(Idempotency.IDEMPOTENCY_KEY);
         if (!keyed) return engine.role == EngineRole.READER || !isUnrepeatable(request);
-        return request.attempts.stream().allMatch(a -> a.ended && a != request.mayHaveRun
-                || nowMs < a.sentMs + request.terms.keyTtlMs()
-                        && request.terms.keyScope().includes(a.engine.endpoint, engine.endpoint));
+        return request.attempts.stream().allMatch(a -> a.ended && a != request.firstMaybeExecuted
+                || nowMs < a.sentMs + request.requestClass.keyTtlMs()
+                        && request.requestClass.keyScope().includes(a.engine.endpoint, engine.endpoint));
     }
 
     private boolean isWarmingUp(EngineState engine) {
@@ -835,77 +915,83 @@
         return startedMs > 0 && nowMs < startedMs + settings.rules().slowStartMs();
     }
 
-    /** Our share of what an engine in slow start can do, judged by what its warm peers get from us. It
-     * grows evenly, so that few warm peers don't drown while new processes have capacity. */
+    /** Limits this gateway's attempts to its share of the engine's capacity, estimated from its rate at warm
+     * peers. The limit grows linearly, so that few warm peers aren't overloaded while new processes have
+     * capacity. */
     private boolean hasSlowStartCapacity(EngineState engine) {
         if (!isWarmingUp(engine)) return true;
         double initial = settings.rules().initialCapacity();
         double progress = (nowMs - engine.endpoint.startedMs()) / settings.rules().slowStartMs();
-        double perMs = Math.max(1.0 / (1000 * settings.gateways()), usual(engine).sendRate)
+        double perMs = Math.max(1.0 / (1000 * settings.gateways()), medians(engine).warmSendRate)
                 * (initial + (1 - initial) * Math.max(0, progress)) * SLOW_START_LOAD;
         engine.slowStart.refill(nowMs, perMs, 1);
         return engine.slowStart.tokens() >= 1;
     }
 
-    // ---- Attempts: overdue, failed, waiting ----
+    // ---- Attempts: overdue, failed, waiting for an engine ----
 
-    /** How long an attempt may take: some times what its peers take, or what its own engine took lately. */
-    private double patienceMs(AttemptState attempt) {
-        double pace = usual(attempt.engine).pace;
-        double usualMs = Math.max(Double.isNaN(pace) ? 0 : pace * attempt.cost, waitMs(attempt.engine));
-        // What we only assume to be cached there may have to be read.
-        boolean assumed = pace > 0 && attempt.request.homes.contains(attempt.engine);
+    /** Time after which an attempt is overdue: a multiple of its peers' or its own engine's recent time. */
+    private double overdueAfterMs(AttemptState attempt) {
+        double pace = medians(attempt.engine).pace;
+        double expectedMs = Math.max(Double.isNaN(pace) ? 0 : pace * attempt.cost, waitMs(attempt.engine));
+        // A prefix that is only assumed to be cached there may have to be read.
+        boolean assumed = pace > 0 && attempt.request.assignedReaders.contains(attempt.engine);
         double readMs = assumed ? pace * attempt.request.arrival.promptTokens() / 2 : 0;
-        return Math.max(EARLIEST * attempt.request.terms.objectiveMs(), OVERDUE * Math.max(usualMs, readMs));
+        return Math.max(MIN_OVERDUE_SHARE * attempt.request.requestClass.objectiveMs(),
+                OVERDUE_MULTIPLE * Math.max(expectedMs, readMs));
     }
 
-    private void checkOverdueAt(AttemptState attempt, double atMs) {
+    private void setOverdueTimer(AttemptState attempt, double atMs) {
         setTimer(attempt.request.id, attempt.number, Purpose.ATTEMPT_OVERDUE, atMs);
     }
 
-    /** Silence, or a known outlier: an attempt takes far longer than peers do. Hedge it, or call it off. */
+    /** Hedges or cancels an attempt that takes far longer than those of peers, as its engine doesn't respond
+     * or is a known outlier, or its answer was lost. */
     private void onOverdue(RequestState request, int number) {
-        AttemptState attempt = request == null ? null : inFlight(request.id, number);
+        AttemptState attempt = request == null ? null : findInFlight(request.id, number);
         if (attempt == null || attempt.cancelled || request.isAnswered()) return;
         if (request.attempts.size() >= request.limits.maxAttempts() - 1) return;
-        // Retries are rationed against storms, but an answer that is lost comes from no lack of capacity.
+        // The retry budget prevents retry storms, but a lost answer is no sign of a lack of capacity.
         boolean lost = attempt.isOvertaken();
-        if (!lost && (retryBudget < 1 || isRoleBehind(attempt))) {
-            checkOverdueAt(attempt, nowMs + patienceMs(attempt)); // silence may last on; the crowd will not
+        if (!lost && (retryBudget < 1 || isRoleCongested(attempt))) {
+            // Congestion may end before the engine responds.
+            setOverdueTimer(attempt, nowMs + overdueAfterMs(attempt));
             return;
         }
-        if (keepUnrepeatable(attempt)) return;
-        double objectiveMs = request.terms.objectiveMs();
-        boolean silent = attempt.engine.lastSuccessMs < attempt.sentMs;
-        if (!silent && !lost && !attempt.excused && relativePace(attempt.engine) < OUTLIER) {
-            // Others were answered: a queue, or an answer that was lost. The second time it counts as lost.
-            attempt.excused = true;
-            checkOverdueAt(attempt, 2 * nowMs - attempt.sentMs);
+        if (deferCancel(attempt)) return;
+        double objectiveMs = request.requestClass.objectiveMs();
+        boolean unresponsive = attempt.engine.lastSuccessMs < attempt.sentMs;
+        if (!unresponsive && !lost && !attempt.graceGranted && relativePace(attempt.engine) < OUTLIER_RATIO) {
+            // The engine answered others: queueing or a lost answer. The second time it counts as lost.
+            attempt.graceGranted = true;
+            setOverdueTimer(attempt, 2 * nowMs - attempt.sentMs);
             return;
         }
-        // A full writer's queue is silent too: only silence as long as an objective counts.
-        if (silent && nowMs - attempt.engine.lastSuccessMs > objectiveMs) recordFailure(attempt);
+        // A writer with a full queue doesn't respond either: a failure only after a whole objective.
+        if (unresponsive && nowMs - attempt.engine.lastSuccessMs > objectiveMs) recordFailure(attempt);
         retryBudget = Math.max(0, retryBudget - 1);
-        // A repeat that nothing drops while the first is in flight, a read's too, has to wait for its end.
+        // A repeat that isn't deduplicated, even of a read, has to wait until the first attempt ends.
         boolean hedge = attempt.isRead && request.limits.hedging() && !request.is(Idempotency.NON_IDEMPOTENT);
-        if (hedge && mayBeSentTo(request, attempt.engine)) read(request, attempt.engine);
+        if (hedge && mayBeSentTo(request, attempt.engine)) startRead(request, attempt.engine);
         else request.attempts.forEach(this::cancel);
     }
 
-    /** It may have begun to answer and can go nowhere else: called off in time it could only be lost. */
-    private boolean keepUnrepeatable(AttemptState attempt) {
+    /** Defers cancelling an attempt that may be executing and can't be repeated elsewhere, as its answer may
+     * still arrive in time; an attempt at a writer is cancelled after the objective. */
+    private boolean deferCancel(AttemptState attempt) {
         RequestState request = attempt.request;
-        if (!request.is(Idempotency.NON_IDEMPOTENT) || attempt != request.mayHaveRun) return false;
-        attempt.kept = true;
-        if (attempt.isRead || nowMs >= request.objectiveMs) return attempt.isRead;
-        checkOverdueAt(attempt, request.objectiveMs);
+        if (!request.is(Idempotency.NON_IDEMPOTENT) || attempt != request.firstMaybeExecuted) return false;
+        attempt.cancelDeferred = true;
+        if (attempt.isRead || nowMs >= request.objectiveAtMs) return attempt.isRead;
+        setOverdueTimer(attempt, request.objectiveAtMs);
         return true;
     }
 
-    /** Where the whole role is behind, another attempt only adds to it. */
-    private boolean isRoleBehind(AttemptState attempt) {
-        double waitMs = (attempt.isRead ? readWaits : tokenWaits).fadedMean(ROLE_WAIT_MS, nowMs);
-        return isSeldomMet(attempt.engine) && waitMs > ROLE_BEHIND * attempt.request.terms.objectiveMs();
+    /** True if the whole role is congested, so that a further attempt would only add load. */
+    private boolean isRoleCongested(AttemptState attempt) {
+        double waitMs = (attempt.isRead ? readWaits : firstTokenWaits).decayedMean(ROLE_WAIT_DECAY_MS, nowMs);
+        return isRarelySampled(attempt.engine)
+                && waitMs > CONGESTED_ROLE_SHARE * attempt.request.requestClass.objectiveMs();
     }
 
     private void cancel(AttemptState attempt) {
@@ -919,40 +1005,44 @@
     }
 
     private void onFailure(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
-        if (outcome.provesNoEffect() && request.mayHaveRun == attempt) request.mayHaveRun = null;
-        if (request.phase == Phase.STREAMING || request.inFlight > 0) return;
+        if (outcome.provesNoEffect() && request.firstMaybeExecuted == attempt)
+            request.firstMaybeExecuted = null;
+        if (request.phase == Phase.STREAMING || request.attemptsInFlight > 0) return;
         if (outcome == AttemptOutcome.STATE_LOST) request.stateHolder = null;
-        // What may have had its effect can be neither repeated nor taken elsewhere: no use in waiting.
-        boolean spent = request.attempts.size() >= request.limits.maxAttempts() || isUnrepeatable(request);
+        // A request that may have been executed and can't be repeated ends at once, as waiting can't help.
+        boolean exhausted = request.attempts.size() >= request.limits.maxAttempts()
+                || isUnrepeatable(request);
         boolean readCancelled = outcome == AttemptOutcome.CANCELLED && attempt.isRead;
-        if (spent || lastMomentMs(request) <= nowMs) giveUp(request);
-        // Sent at once it could overtake, on its way, the end of the read that was called off before it.
-        else if (readCancelled && !request.is(Idempotency.IDEMPOTENT)) selectLater(request);
-        else if (request.stateHolder != null) write(request, attempt.engine);
-        else read(request, attempt.engine);
+        if (exhausted || latestAnswerMs(request) <= nowMs) rejectOrFail(request);
+        // Sent at once, it could arrive before the cancellation of the previous read.
+        else if (readCancelled && !request.is(Idempotency.IDEMPOTENT)) scheduleReselection(request);
+        else if (request.stateHolder != null) startWrite(request, attempt.engine);
+        else startRead(request, attempt.engine);
     }
 
-    /** No engine is eligible now: selects again soon, for as long as the state may be reserved. */
-    private void selectLater(RequestState request) {
+    /** No engine is eligible: schedules another selection, within the reservation limit of the state. */
+    private void scheduleReselection(RequestState request) {
         int next = request.attempts.size();
-        if (request.holdsState) setTimer(request.id, next, Purpose.RESERVATION_LIMIT, heldUntilMs(request));
-        setTimer(request.id, 0, Purpose.RETRY_SELECTION, nowMs + SELECTION_MS);
+        if (request.mayHoldState)
+            setTimer(request.id, next, Purpose.RESERVATION_LIMIT, reservationLimitAtMs(request));
+        setTimer(request.id, 0, Purpose.RETRY_SELECTION, nowMs + RESELECTION_MS);
     }
 
-    private void selectAgain(RequestState request) {
-        if (request == null || request.inFlight > 0) return;
-        if (nowMs > Math.max(request.objectiveMs, request.reservedMs + 2 * SELECTION_MS)) giveUp(request);
-        if (request.phase == Phase.HOLDING) write(request, null);
-        if (request.phase == Phase.READING) read(request, null);
+    private void reselect(RequestState request) {
+        if (request == null || request.attemptsInFlight > 0) return;
+        if (nowMs > Math.max(request.objectiveAtMs, request.reservedMs + 2 * RESELECTION_MS))
+            rejectOrFail(request);
+        if (request.phase == Phase.SELECTING_WRITER) startWrite(request, null);
+        if (request.phase == Phase.READING) startRead(request, null);
     }
 
-    /** The state was reserved as long as the rules allow: let it go and end the request. */
+    /** Ends the request and releases its state when the reservation limit is reached. */
     private void onReservationLimit(RequestState request) {
-        boolean waits = request != null && request.holdsState && request.inFlight == 0;
-        if (waits && nowMs >= heldUntilMs(request)) giveUp(request);
+        boolean isReserved = request != null && request.mayHoldState && request.attemptsInFlight == 0;
+        if (isReserved && nowMs >= reservationLimitAtMs(request)) rejectOrFail(request);
     }
 
-    private double heldUntilMs(RequestState request) {
+    private double reservationLimitAtMs(RequestState request) {
         return request.reservedMs + settings.rules().reservationLimitMs() - marginMs();
     }
 
@@ -960,38 +1050,45 @@
         return MARGIN_TICKS * settings.tickMs() + MARGIN_MS;
     }
 
-    private double lastMomentMs(RequestState request) {
-        return request.deadlineMs - marginMs();
+    private double latestAnswerMs(RequestState request) {
+        return request.deadlineAtMs - marginMs();
     }
 
     // ---- Admission: load shedding by priority ----
 
-    /** Work is rejected when its first token is expected near its own objective, or near that of work of
-     * higher priority. For any lasting lack of capacity; could harm where a short burst would have passed. */
+    /** Work is rejected if its first token is expected near its own objective, or if the queues alone take
+     * nearly the objective of work of higher priority. Meant for a lasting lack of capacity; may needlessly
+     * reject work in a short burst. */
     private boolean isOverloaded(RequestState request, EngineState reader) {
-        // The rest of a stream that broke is admitted: else what was served of it would be lost too.
+        // Resumed streams are admitted: otherwise the part that was already streamed would be lost.
         if (reader == null || request.arrival.resumed()) return false;
-        List<EngineState> writers = eligible(request, null, e -> e.role != EngineRole.READER);
-        double median = Medians.lowerMedian(writers.stream().mapToDouble(this::fadedWaitMs), 0);
-        double own = Math.max(readMs(reader, reader.queuedTokens), oldestWaitMs(reader));
-        double all = isSeldomMet(reader) ? readWaits.fadedMean(ROLE_WAIT_MS, nowMs) : 0;
-        double queue = Math.max(own, all) + Math.max(median, tokenWaits.fadedMean(ROLE_WAIT_MS, nowMs));
-        double limit = Math.min(request.objectiveMs, lastMomentMs(request)) - nowMs;
-        // A long prompt takes its time without a queue: what it needs itself is no overload.
-        double whole = queue + (calmPace < MAX_PLAUSIBLE ? calmPace * neededTokens(request, reader) : 0);
-        if (queue > QUEUED * limit && whole > ADMIT * limit) return true;
+        List<EngineState> writers = eligibleEngines(request, null, e -> e.role != EngineRole.READER);
+        double writerWaitMs = Medians.lowerMedian(writers.stream().mapToDouble(this::decayedWaitMs), 0);
+        double readerWaitMs = Math.max(readTimeMs(reader, reader.queuedTokens), oldestWaitMs(reader));
+        double roleWaitMs = isRarelySampled(reader) ? readWaits.decayedMean(ROLE_WAIT_DECAY_MS, nowMs) : 0;
+        double queueMs = Math.max(readerWaitMs, roleWaitMs)
+                + Math.max(writerWaitMs, firstTokenWaits.decayedMean(ROLE_WAIT_DECAY_MS, nowMs));
+        double limitMs = Math.min(request.objectiveAtMs, latestAnswerMs(request)) - nowMs;
+        // A long prompt takes long even without a queue; its own read time alone is no overload.
+        double firstTokenMs = queueMs
+                + (unloadedPace < MAX_PLAUSIBLE ? unloadedPace * neededTokens(request, reader) : 0);
+        if (queueMs > MIN_QUEUE_SHARE * limitMs && firstTokenMs > MAX_FIRST_TOKEN_SHARE * limitMs)
+            return true;
         for (RequestClass other : settings.classes()) {
-            if (other.priorityWeight() > request.priorityWeight) limit = Math.min(limit, other.objectiveMs());
+            if (other.priorityWeight() > request.priorityWeight)
+                limitMs = Math.min(limitMs, other.objectiveMs());
         }
-        return queue > ADMIT * limit;
+        return queueMs > MAX_FIRST_TOKEN_SHARE * limitMs;
     }
 
-    /** Met so seldom, the more so the more gateways, that its waits say little: its role's stand in. */
-    private boolean isSeldomMet(EngineState engine) {
-        return usual(engine).sendRate * WAIT_MS < Math.min(ENOUGH, Math.max(1, settings.gateways() / 4.0));
+    /** True if this gateway uses the engine too rarely to know its waits (typical for many gateways), so that
+     * the waits of its role are used instead. */
+    private boolean isRarelySampled(EngineState engine) {
+        return medians(engine).warmSendRate * WAIT_DECAY_MS
+                < Math.min(SUFFICIENT_SAMPLES, Math.max(1, settings.gateways() / 4.0));
     }
 
-    /** A bucket for each tenant, filled at this gateway's part of its quota; empty means over it. */
+    /** Uses a token bucket per tenant for this gateway's share of the quota; empty means over quota. */
     private boolean isOverQuota(int tenant) {
         double perSecond = settings.tenants().get(tenant).quotaPerSecond();
         double perMs = perSecond / 1000 / Math.max(1, settings.gateways());
@@ -1002,23 +1099,25 @@
         return !quota.consumeOrDrain();
     }
 
-    /** What an engine makes us wait: its recent times, or the age of what still waits there. */
+    /** Expected wait at an engine: its recent response times or the age of its oldest waiting attempt. */
     private double waitMs(EngineState engine) {
-        double usualMs = usual(engine).waitMs > 0 ? usual(engine).waitMs : 0;
-        // Remembered for longer than the gap between two samples, however many engines share our work.
-        double fadeMs = Math.max(WAIT_MS, Math.min(MEMORY_MS, 1 / usual(engine).sendRate));
-        double excessMs = usualMs * (relative(engine.responseMs, usualMs) - 1);
-        double seenMs = usualMs + excessMs * Math.exp((engine.lastSuccessMs - nowMs) / fadeMs);
-        return Math.max(oldestWaitMs(engine), seenMs);
+        double medianMs = medians(engine).responseMs > 0 ? medians(engine).responseMs : 0;
+        // Decays more slowly than samples arrive, regardless of the number of engines that share the load.
+        double decayMs = Math.max(WAIT_DECAY_MS, Math.min(MEAN_DECAY_MS, 1 / medians(engine).warmSendRate));
+        double excessMs = medianMs * (relativeToMedian(engine.responseMs, medianMs) - 1);
+        double observedMs = medianMs + excessMs * Math.exp((engine.lastSuccessMs - nowMs) / decayMs);
+        return Math.max(oldestWaitMs(engine), observedMs);
     }
 
-    /** A jam is believed no longer than it is seen: admission, once shut, would get no news to open on. */
-    private double fadedWaitMs(EngineState engine) {
-        double fade = Math.exp((engine.lastSuccessMs - nowMs) / ROLE_WAIT_MS);
-        return Math.max(oldestWaitMs(engine), waitMs(engine) * fade);
+    /** The wait, decayed with the time since the last success: if all work is rejected, no new samples arrive
+     * that could show the end of congestion. */
+    private double decayedWaitMs(EngineState engine) {
+        double decay = Math.exp((engine.lastSuccessMs - nowMs) / ROLE_WAIT_DECAY_MS);
+        return Math.max(oldestWaitMs(engine), waitMs(engine) * decay);
     }
 
-    /** The age of the oldest attempt that waits; a lost one would pass for a queue and shut admission. */
+    /** Age of the oldest waiting attempt, without lost ones, which would look like a queue and cause
+     * rejections. */
     private double oldestWaitMs(EngineState engine) {
         return engine.inFlight.stream().filter(AttemptState::isQueued).findFirst()
                 .map(a -> nowMs - a.sentMs).orElse(0.0);
@@ -1026,42 +1125,44 @@
 
     // ---- End of request ----
 
-    /** Ends a request unserved, at once; rejected if a retry is harmless, to come later, not all at once. */
-    private void giveUp(RequestState request) {
+    /** Ends a request without an answer: rejects it if a client's retry is safe, with a random delay so that
+     * rejected clients don't retry all at once; otherwise fails it. */
+    private void rejectOrFail(RequestState request) {
         if (request == null || request.isAnswered()) return;
-        boolean unsure = request.mayHaveRun != null || request.inFlight > 0; // a read in flight: no proof
-        boolean allKnowKeys = request.terms.keyScope() == IdempotencyScope.ALL;
-        boolean harmless = !unsure || request.is(Idempotency.IDEMPOTENT)
-                || request.is(Idempotency.IDEMPOTENCY_KEY) && allKnowKeys;
-        double mostMs = Math.min(settings.limits().maxRetryAfterMs(), WAIT_MS);
-        double retryAfterMs = settings.limits().retryAfter() ? mostMs * (1 - random.nextDouble() / 2) : 0;
-        if (harmless) actions.add(new RoutingAction.RejectRequest(request.id, retryAfterMs));
+        // A read in flight proves nothing.
+        boolean maybeExecuted = request.firstMaybeExecuted != null || request.attemptsInFlight > 0;
+        boolean keysKnownEverywhere = request.requestClass.keyScope() == IdempotencyScope.ALL;
+        boolean retryIsSafe = !maybeExecuted || request.is(Idempotency.IDEMPOTENT)
+                || request.is(Idempotency.IDEMPOTENCY_KEY) && keysKnownEverywhere;
+        double maxDelayMs = Math.min(settings.limits().maxRetryAfterMs(), WAIT_DECAY_MS);
+        double retryAfterMs = settings.limits().retryAfter() ? maxDelayMs * (1 - random.nextDouble() / 2) : 0;
+        if (retryIsSafe) actions.add(new RoutingAction.RejectRequest(request.id, retryAfterMs));
         else actions.add(new RoutingAction.FailRequest(request.id));
         request.attempts.forEach(this::cancel);
-        close(request);
+        closeRequest(request);
     }
 
-    private void close(RequestState request) {
+    private void closeRequest(RequestState request) {
         if (request == null || request.phase == Phase.CLOSED) return;
         request.phase = Phase.CLOSED;
-        cleanUp(request);
+        releaseAndRemove(request);
     }
 
-    /** A release passes over what an attempt still waits for, so each that ends later brings another. */
-    private void cleanUp(RequestState request) {
-        if (request.holdsState) actions.add(new RoutingAction.ReleaseState(request.id));
-        if (request.inFlight == 0) requests.remove(request.id);
+    /** A release excludes state that an attempt still waits for, so it is repeated when an attempt ends. */
+    private void releaseAndRemove(RequestState request) {
+        if (request.mayHoldState) actions.add(new RoutingAction.ReleaseState(request.id));
+        if (request.attemptsInFlight == 0) requests.remove(request.id);
     }
 
     private void settleLoad(AttemptState attempt, AttemptOutcome outcome) {
         RequestState request = attempt.request;
         EngineState engine = attempt.engine;
         engine.inFlight.remove(attempt);
-        // What was rejected is no measure of what a warm engine can carry.
+        // Rejected attempts say nothing about the load that a warm engine can handle.
         if (outcome.provesNoEffect() && outcome != AttemptOutcome.PROMPT_READ) engine.sendRate.add(-1, nowMs);
         engine.queuedTokens = Math.max(0, engine.queuedTokens - attempt.uncachedTokens);
-        double projected = attempt.isRead ? 0 : projectedTokens(request);
-        engine.projectedTokens = Math.max(0, engine.projectedTokens - projected);
+        double releasedTokens = attempt.isRead ? 0 : projectedTokens(request);
+        engine.projectedTokens = Math.max(0, engine.projectedTokens - releasedTokens);
         if (outcome != AttemptOutcome.COMPLETED) return;
         request.attempts.stream().filter(a -> a.isRead).reduce((a, b) -> b)
                 .ifPresent(a -> charge(a.engine, request.client, OUTPUT_WEIGHT * request.estimatedOutput));
@@ -1075,22 +1176,23 @@
     @Override
     public List<PrefixCached> cachedPrefixes() {
         List<PrefixCached> all = new ArrayList<>();
-        sessions.visit((k, p) -> all.add(new PrefixCached(true, k, p.holder().id, p.amount(), p.atMs())));
-        prefixes.visit((k, p) -> all.add(new PrefixCached(false, k, p.holder().id, p.amount(), p.atMs())));
+        sessions.forEach((k, p) -> all.add(new PrefixCached(true, k, p.holder().id, p.amount(), p.atMs())));
+        prefixes.forEach((k, p) -> all.add(new PrefixCached(false, k, p.holder().id, p.amount(), p.atMs())));
         return all;
     }
 
-    /** Entries in the tables, for watching that they stay bounded. */
-    int tableSizes() {
+    /** Number of entries in all tables; tests check that it stays bounded. */
+    int tableEntries() {
         return requests.size() + sessions.size() + prefixes.size() + arrivals.size() + engines.size();
     }
 
-    private static List<EngineState> filter(List<EngineState> among, Predicate<EngineState> by) {
-        return among.stream().filter(by).toList();
+    private static List<EngineState> filter(List<EngineState> candidates, Predicate<EngineState> condition) {
+        return candidates.stream().filter(condition).toList();
     }
 
-    /** The engine of the lowest value; equals by the key's rendezvous hash, so that gateways don't herd. */
-    private static EngineState lowest(List<EngineState> among, ToDoubleFunction<EngineState> by, long key) {
-        return RendezvousHash.lowest(among, by, e -> e.id, key);
+    /** The engine of the lowest cost; ties by the key's rendezvous hash, so that gateways differ. */
+    private static EngineState lowest(List<EngineState> candidates, ToDoubleFunction<EngineState> cost,
+            long key) {
+        return RendezvousHash.lowest(candidates, cost, e -> e.id, key);
     }
 }
--- a/src/main/java/maplerail/routing/d2lpm/package-info.java
+++ b/src/main/java/maplerail/routing/d2lpm/package-info.java
@@ -1,2 +1,2 @@
-/** The routing policy D2LPM, longest prefix match with deficits: all decisions of a gateway, nothing else. */
+/** The routing policy D2LPM (deficit longest prefix match), which makes all decisions of a gateway. */
 package maplerail.routing.d2lpm;
--- a/src/main/java/maplerail/routing/package-info.java
+++ b/src/main/java/maplerail/routing/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The contract between a gateway and its routing policy: the events that a gateway reports, the actions that a policy
- * answers with, and the settings that a policy is created from.
+ * returns, and the settings with which a policy is created.
  *
- * <p>All times are milliseconds of the gateway's clock and all lengths are tokens. Nothing in this package does input
- * or output, reads a clock or draws a random number. The policy itself is in {@link maplerail.routing.d2lpm}.
+ * <p>All times are in milliseconds of the gateway's clock and all lengths are in tokens. Nothing in this package performs
+ * I/O, reads a clock or generates random numbers. The policy itself is in {@link maplerail.routing.d2lpm}.
  */
 package maplerail.routing;
--- a/src/test/java/maplerail/ArchitectureTest.java
+++ b/src/test/java/maplerail/ArchitectureTest.java
@@ -21,10 +21,10 @@
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("maplerail");
 
-    private static final String[] DECISIONS = {"maplerail.routing..", "maplerail.algorithms.."};
+    private static final String[] ROUTING_PACKAGES = {"maplerail.routing..", "maplerail.algorithms.."};
 
     @Test
-    void routingKnowsOnlyItsContractGeneralStructuresAndTheJdk() {
+    void routingDependsOnlyOnItsContractTheAlgorithmsAndTheJdk() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAnyPackage("maplerail.routing..")
@@ -38,7 +38,7 @@
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("java..", "maplerail.routing")
-                .as("the contract does not know the policy")
+                .as("the contract does not depend on the policy")
                 .check(classes);
         ArchRuleDefinition.classes()
                 .that()
@@ -50,10 +50,10 @@
     }
 
     @Test
-    void routingHasNoClockNoInputNoThreads() {
+    void routingUsesNoClockNoIoAndNoThreads() {
         ArchRuleDefinition.noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(ROUTING_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.io..", "java.nio..", "java.net..", "java.time..", "java.util.concurrent..")
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void theCoreKnowsNoWire() {
+    void coreDoesNotDependOnIoOrOuterPackages() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("maplerail.core..")
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void whatSessionsAndBackoffDecideDoesNoInput() {
+    void sessionsAndBackoffDoNoIo() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAPackage("maplerail.rpc..")
@@ -118,9 +118,9 @@
                 .check(classes);
     }
 
-    /** When discovery is asked for what is decided without a socket. */
+    /** The schedule of discovery polls is computed without I/O. */
     @Test
-    void thePollScheduleDoesNoInput() {
+    void pollScheduleDoesNoIo() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .haveNameMatching("maplerail\\.discovery\\.PollSchedule.*")
@@ -130,9 +130,9 @@
                 .check(classes);
     }
 
-    /** What gateways tell each other is decided without a socket or a clock; the lab is no part of a gateway. */
+    /** The content of messages between gateways is computed without sockets or clocks; the lab is no part of a gateway. */
     @Test
-    void theFleetDecidesWithoutInput() {
+    void fleetDoesNoIoAndOnlyMainDependsOnTheLab() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAPackage("maplerail.fleet..")
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void theFrontsDoNotKnowEachOtherNorTheSimulator() {
+    void frontsDoNotDependOnEachOtherOrOnTheSimulator() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("maplerail.front.platform..")
@@ -183,9 +183,12 @@
                 .check(classes);
     }
 
-    /** Figures and what is handed over are told to anyone; XNIO's package has the one class that needs to be there. */
+    /**
+     * Metrics, handover files and the admin front don't depend on the network or the core. The package {@code org.xnio}
+     * contains only the classes that have to be there.
+     */
     @Test
-    void whatOperatorsSeeKnowsNoWire() {
+    void metricsMigrationAndAdminHaveFewDependencies() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAPackage("maplerail.metrics..")
@@ -234,9 +237,9 @@
                 .check(new ClassFileImporter().importPath("target/classes/org"));
     }
 
-    /** The bench takes no longer decision module; the deploy file's {@code policy} names its files. */
+    /** The bench limits the length of the policy's source; {@code policy} in the deploy files lists the source files. */
     @Test
-    void thePolicyIsShortEnoughToReadAloud() throws IOException {
+    void policySourceStaysWithinItsSizeLimits() throws IOException {
         Path policy = Path.of("src/main/java/maplerail/routing/d2lpm");
         List<String> lines = new ArrayList<>();
         List<Path> files;
@@ -248,7 +251,7 @@
         for (String deployFile : List.of("deploy/balancer.toml", "deploy/trace.toml")) {
             assertTrue(Files.readString(Path.of(deployFile)).contains("policy = [" + listed + "]"), deployFile);
         }
-        assertTrue(lines.size() > 500, "the policy is found");
+        assertTrue(lines.size() > 500, "the policy's source is found");
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1_200);
         assertEquals(List.of(), lines.stream().filter(l -> l.length() > 110).toList());
         String top = Files.readString(policy.resolve("D2lpmPolicy.java")).split("public final class", 2)[0];
--- a/src/test/java/maplerail/QuickStartTest.java
+++ b/src/test/java/maplerail/QuickStartTest.java
@@ -22,10 +22,10 @@
 import maplerail.routing.d2lpm.D2lpmPolicy;
 import org.junit.jupiter.api.Test;
 
-/** The README's example. */
+/** The example in the README. */
 class QuickStartTest {
     @Test
-    void theExampleDecides() {
+    void exampleStartsAnAttemptAtTheReader() {
         RoutingSettings settings = new RoutingSettings(
                 42,
                 1,
--- a/src/test/java/maplerail/algorithms/DecayingStatisticsTest.java
+++ b/src/test/java/maplerail/algorithms/DecayingStatisticsTest.java
@@ -11,7 +11,7 @@
     private static final Offset<Double> ROUNDING = within(1e-9);
 
     @Test
-    void anAverageRemembersNoMoreThanItsMostSamples() {
+    void averageLimitsTheWeightOfItsSamples() {
         DecayingAverage average = new DecayingAverage(2, 1_000);
         for (int i = 0; i < 100; i++) average.add(10, 0);
         average.add(20, 0);
@@ -20,18 +20,18 @@
     }
 
     @Test
-    void anAveragesWeightFadesAndItsMeanStays() {
+    void weightOfAnAverageDecaysAndItsMeanStays() {
         DecayingAverage average = new DecayingAverage(5, 1_000);
         average.add(10, 0);
         assertThat(average.weight(1_000)).isCloseTo(1 / Math.E, ROUNDING);
         assertThat(average.mean()).isEqualTo(10);
         assertThat(average.meanOr(0.5, -1, 0)).isEqualTo(10);
         assertThat(average.meanOr(0.5, -1, 1_000)).isEqualTo(-1);
-        assertThat(average.fadedMean(2_000, 2_000)).isCloseTo(10 / Math.E, ROUNDING);
+        assertThat(average.decayedMean(2_000, 2_000)).isCloseTo(10 / Math.E, ROUNDING);
     }
 
     @Test
-    void anAverageWhoseWeightIsResetFollowsTheNextSample() {
+    void averageWithResetWeightFollowsTheNextSample() {
         DecayingAverage average = new DecayingAverage(5, 1_000);
         average.add(10, 0);
         average.add(10, 0);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aRateFadesAndIsNeverNegative() {
+    void rateDecaysAndIsNeverNegative() {
         DecayingRate rate = new DecayingRate(1_000);
         rate.add(1, 0);
         assertThat(rate.perMs(0)).isCloseTo(0.001, ROUNDING);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aCountFadesAndIsForgottenAfterItsRetention() {
+    void countDecaysAndIsEvictedAfterItsRetention() {
         DecayingCounts counts = new DecayingCounts(1_000, 5_000, 10);
         counts.increment(1, 0);
         counts.increment(1, 0);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aMedianIsTheLowerOneAndLeavesOutWhatIsNotKnown() {
+    void medianIsTheLowerOneAndIgnoresNaN() {
         assertThat(Medians.lowerMedian(DoubleStream.of(4, Double.NaN, 1, 3, 2), -1))
                 .isEqualTo(2);
         assertThat(Medians.lowerMedian(DoubleStream.of(Double.NaN), -1)).isEqualTo(-1);
--- a/src/test/java/maplerail/algorithms/TablesTest.java
+++ b/src/test/java/maplerail/algorithms/TablesTest.java
@@ -10,7 +10,7 @@
 
 class TablesTest {
     @Test
-    void theEntryThatWasPutLongestAgoIsEvictedFirst() {
+    void leastRecentlyPutEntryIsEvictedFirst() {
         LruTable<String> table = new LruTable<>(2, value -> false);
         table.put(1, "a");
         table.put(2, "b");
@@ -22,12 +22,12 @@
     }
 
     @Test
-    void expiredEntriesAreEvictedFromTheEldestToTheFirstThatIsNot() {
+    void expiredEntriesAreEvictedUpToTheOldestUnexpiredOne() {
         LruTable<String> table = new LruTable<>(10, "old"::equals);
         List.of("young", "old").forEach(value -> table.put(value.length(), value));
         table.put(7, "young");
         assertThat(table.size())
-                .as("an expired entry behind one that is not stays")
+                .as("an expired entry behind an unexpired one stays")
                 .isEqualTo(3);
         table.put(5, "old");
         table.put(8, "young");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aPlacementIsBelievedForItsAge() {
+    void placementExpiresAfterItsTtl() {
         PlacementTable<String> table = new PlacementTable<>(10, 2, 1_000);
         table.put(7, new Placement<>("a", 40, 0), 0);
         assertThat(table.amount(7, "a", 999)).isEqualTo(40);
@@ -45,11 +45,11 @@
     }
 
     @Test
-    void aKeyHasItsLatestHoldersOnlyAndEachOnce() {
+    void keyHasOnlyItsLatestHoldersAndEachOnce() {
         PlacementTable<String> table = new PlacementTable<>(10, 2, 1_000);
         for (String holder : List.of("a", "b", "a", "c")) table.put(7, new Placement<>(holder, 40, 0), 0);
         List<String> holders = new ArrayList<>();
-        table.visit((key, placement) -> holders.add(placement.holder()));
+        table.forEach((key, placement) -> holders.add(placement.holder()));
         assertThat(holders).containsExactly("a", "c");
         table.remove(7, "a");
         assertThat(table.amount(7, "a", 0)).isZero();
@@ -57,12 +57,12 @@
     }
 
     @Test
-    void aNodeThatLeavesMovesItsOwnKeysOnly() {
+    void removingANodeReassignsOnlyItsKeys() {
         List<Long> nodes = List.of(1L, 2L, 3L, 4L);
-        List<Long> fewer = List.of(1L, 2L, 4L);
+        List<Long> remaining = List.of(1L, 2L, 4L);
         for (long key = 1; key <= 200; key++) {
             long before = firstChoice(nodes, key);
-            long after = firstChoice(fewer, key);
+            long after = firstChoice(remaining, key);
             if (before != 3) assertThat(after).isEqualTo(before);
         }
         long moved = LongStream.rangeClosed(1, 200)
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void theLowestValueWinsAndEqualsAreToldApartByTheHash() {
+    void nodeOfTheLowestValueIsChosenAndTiesAreBrokenByTheHash() {
         List<Long> nodes = List.of(1L, 2L, 3L);
         assertThat(RendezvousHash.<Long>lowest(nodes, node -> -node, node -> node, 7))
                 .isEqualTo(3);
--- a/src/test/java/maplerail/algorithms/TokenBucketTest.java
+++ b/src/test/java/maplerail/algorithms/TokenBucketTest.java
@@ -6,7 +6,7 @@
 
 class TokenBucketTest {
     @Test
-    void itFillsAtItsRateUpToItsCapacity() {
+    void bucketIsRefilledAtItsRateUpToItsCapacity() {
         TokenBucket bucket = new TokenBucket(0, 0);
         bucket.refill(10, 0.25, 5);
         assertThat(bucket.tokens()).isEqualTo(2.5);
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void aTokenThatIsNotWholeIsLeftByATry() {
+    void tryConsumeLeavesAFractionOfAToken() {
         TokenBucket bucket = new TokenBucket(1.5, 0);
         assertThat(bucket.tryConsume()).isTrue();
         assertThat(bucket.tryConsume()).isFalse();
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aTokenThatIsNotWholeIsDrained() {
+    void consumeOrDrainTakesAFractionOfAToken() {
         TokenBucket bucket = new TokenBucket(1.5, 0);
         assertThat(bucket.consumeOrDrain()).isTrue();
         assertThat(bucket.consumeOrDrain()).isFalse();
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aTokenCanBeTakenOnCredit() {
+    void consumeCanMakeTheBucketNegative() {
         TokenBucket bucket = new TokenBucket(0.5, 0);
         bucket.consume();
         assertThat(bucket.tokens()).isEqualTo(-0.5);
