--- a/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
+++ b/src/main/java/maplerail/routing/d2lpm/D2lpmPolicy.java
@@ -144,8 +144,7 @@
         final DecayingAverage pace = recentMean(), responseMs = recentMean(), streamPace = recentMean();
         final DecayingAverage failureRate = recentMean();
         final DecayingRate sendRate = new DecayingRate(SEND_RATE_DECAY_MS);
-        /** Filled randomly: gateways that learn of a new process at once must not all have a whole token for
-         * it. */
+        /** Filled randomly: gateways that learn of a new process at once must not all have a whole token. */
         final TokenBucket slowStart = new TokenBucket(random.nextDouble(), nowMs);
         double lastSuccessMs, overloadedUntilMs;
         /** Send time of the latest answered attempt; attempts sent before it have been overtaken. */
--- a/src/test/java/maplerail/routing/d2lpm/D2lpmPolicyTest.java
+++ b/src/test/java/maplerail/routing/d2lpm/D2lpmPolicyTest.java
@@ -1186,7 +1186,7 @@
     @Test
     void failedSubscriptionIsRequestedAgain() {
         PolicyHarness gateway = new PolicyHarness();
-        gateway.subscribes = true;
+        gateway.mustSubscribe = true;
         gateway.start(reader(1), writer(11));
         assertEquals(1, gateway.actionsOf(SubscribeEndpoints.class).size());
         gateway.updateEndpoints(EndpointUpdateKind.FAILED);
--- a/src/test/java/maplerail/routing/d2lpm/PolicyHarness.java
+++ b/src/test/java/maplerail/routing/d2lpm/PolicyHarness.java
@@ -31,7 +31,7 @@
     double keyTtlMs = 2_000;
     boolean cancel = true;
     boolean hedging = true;
-    boolean subscribes;
+    boolean mustSubscribe;
     boolean writersCanRead;
     boolean placeReservations;
     boolean retryAfter;
@@ -58,7 +58,7 @@
                 gatewayCount,
                 0,
                 2,
-                subscribes,
+                mustSubscribe,
                 overQuotaWeight,
                 List.of(lowPriority, highPriority),
                 tenants,
--- a/src/test/java/maplerail/routing/d2lpm/SlowStartFleetTest.java
+++ b/src/test/java/maplerail/routing/d2lpm/SlowStartFleetTest.java
@@ -26,7 +26,8 @@
     private static final double LULL_MS = 9_000; // without requests, so that slow start tokens could accumulate
     private static final int WARM_WRITERS = 12; // writers with full capacity
     private static final double UTILIZATION = 0.8; // share of the warm writers' capacity in use
-    // Duration of each answer: the new writer, without streams, has the lowest projected memory and is preferred by all.
+    // Duration of each answer: the new writer, without streams, has the lowest projected memory and is preferred by
+    // all.
     private static final double STREAM_MS = 2_000;
     private static final double STARTED_MS = 100_000;
     private static final long NEW_WRITER = 99;
