--- a/src/main/java/maplerail/core/AbortReason.java
+++ b/src/main/java/maplerail/core/AbortReason.java
@@ -1,23 +1,23 @@
 package maplerail.core;
 
-/** Why the gateway itself ended an attempt, for the log. */
+/** Why the gateway itself ended an attempt; written to the log. */
 enum AbortReason {
     /** The routing policy cancelled it. */
     POLICY,
-    /** The request has its final answer, or its client disconnected. */
+    /** The request has its final response, or its client disconnected. */
     REQUEST_ENDED,
-    /** Its engine no longer takes new work, and nothing of it had been sent. */
+    /** Its engine no longer accepts new work, and no byte of the attempt had been sent. */
     ENGINE_NOT_READY,
-    /** Its deadline passed. */
+    /** Its deadline expired. */
     DEADLINE,
-    /** Its stream carried no event for longer than the stall timeout. */
+    /** No event arrived on its stream within the stall timeout. */
     STALLED,
-    /** Another attempt of the request streams to the client. */
+    /** Another attempt of the request already streams to the client. */
     ANOTHER_STREAMS,
-    /** Engines no longer drop a repeat of it. */
+    /** Its idempotency key has expired: engines no longer drop duplicates. */
     KEY_EXPIRED,
-    /** The state that it was to take is being released. */
+    /** The state that it needs is being released. */
     STATE_RELEASED,
-    /** A read that should have ended was not heard of: its state may be held since. */
+    /** A read had no response in the expected time; its reader may still reserve a state for it. */
     UNHEARD
 }
--- a/src/main/java/maplerail/core/AdmissionStage.java
+++ b/src/main/java/maplerail/core/AdmissionStage.java
@@ -9,22 +9,23 @@
 import maplerail.core.ResponseObserver.Reason;
 
 /**
- * Second stage: keeps contracts and budgets, and rejects new requests while the event loop is behind, before anything is
- * decided or sent. Brokers of several services may share one, as a team's budget covers all of them.
+ * Second stage: enforces contracts and budgets, and rejects new requests while the event loop lags, before they are
+ * routed or sent. Brokers of several services may share one stage, as a team's budget covers all of them.
  */
 public final class AdmissionStage {
-    private static final double BUDGET_BURST_MS = 1_000; // of its rate that a team may use at once
-    private static final double MAX_LAG_MS = 150; // of the loop, from which nothing new is taken
+    private static final double BUDGET_BURST_MS = 1_000; // burst capacity, as time at the team's rate
+    private static final double MAX_LAG_MS = 150; // event loop lag from which new requests are rejected
     private static final double RETRY_AFTER_LAG_MS = 500;
-    private static final double RETRY_AFTER_BUSY_MS = 100; // where the number of open requests is the limit
-    private static final double RETRY_SPREAD = 0.5; // of an advice, more or less by chance
+    private static final double RETRY_AFTER_BUSY_MS = 100; // when too many requests are open
+    private static final double RETRY_SPREAD =
+            0.5; // random variation of the retry delay, as a share of it in either direction
 
     private final EventLoop loop;
     private final SplittableRandom random;
     private final LoopLagMonitor lag;
     private final Map<Integer, TeamUsage> usageByTeam = new HashMap<>();
     private AdmissionLimits limits;
-    private BooleanSupplier refusing = () -> false;
+    private BooleanSupplier isDraining = () -> false;
     private int openRequests;
 
     private static final class TeamUsage {
@@ -32,17 +33,17 @@
         private int inFlight;
 
         TeamUsage(double nowMs) {
-            calls = new TokenBucket(Double.MAX_VALUE, nowMs); // cut to the burst by the first refill
+            calls = new TokenBucket(Double.MAX_VALUE, nowMs); // the first refill reduces it to the burst capacity
         }
     }
 
-    /** Why a request is rejected, and the time after which to retry; 0 for no advice. */
+    /** Why a request is rejected, and the delay after which to retry; 0 for no advice. */
     record Rejection(Reason reason, double retryAfterMs) {}
 
     /**
-     * Creates a stage with nothing open.
+     * Creates a stage without open requests.
      *
-     * @param random spreads the advice when to retry
+     * @param random varies the advised retry delays
      */
     public AdmissionStage(AdmissionLimits limits, EventLoop loop, SplittableRandom random) {
         this.limits = limits;
@@ -51,17 +52,17 @@
         this.lag = new LoopLagMonitor(loop, () -> openRequests > 0);
     }
 
-    /** Sets when every request is rejected: the process sends its clients away. */
+    /** Sets the condition under which every request is rejected because the process is draining. */
     public void rejectWhile(BooleanSupplier draining) {
-        refusing = draining;
+        isDraining = draining;
     }
 
-    /** Sets other limits from now on; what is open counts against them. */
+    /** Replaces the limits; requests that are already open count against the new ones. */
     public void changeLimits(AdmissionLimits newLimits) {
         limits = newLimits;
     }
 
-    /** Admits a request, which then counts as open until {@link #release}, or says why it is rejected. */
+    /** Admits a request, which counts as open until {@link #release}, or returns why it is rejected. */
     Optional<Rejection> admit(InferenceRequest request) {
         Optional<Rejection> rejection = check(request);
         if (rejection.isPresent()) return rejection;
@@ -71,7 +72,7 @@
         return Optional.empty();
     }
 
-    /** Counts a request that was admitted as no longer open. */
+    /** Stops counting an admitted request as open. */
     void release(InferenceRequest request) {
         openRequests--;
         if (hasBudget(request)) usage(request.tenant()).inFlight--;
@@ -79,8 +80,8 @@
 
     private Optional<Rejection> check(InferenceRequest request) {
         if (exceedsContract(request)) return Optional.of(new Rejection(Reason.INVALID, 0));
-        if (refusing.getAsBoolean()) return Optional.of(new Rejection(Reason.DRAINING, 0));
-        // The rest of a stream that broke is taken: its client would lose all that it has had so far.
+        if (isDraining.getAsBoolean()) return Optional.of(new Rejection(Reason.DRAINING, 0));
+        // Resumed streams are admitted: rejecting one would cost its client all it has received so far.
         if (lag.lagMs() >= MAX_LAG_MS && !request.resumed()) return reject(Reason.OVERLOAD, RETRY_AFTER_LAG_MS);
         if (openRequests >= limits.maxOpenRequests()) return reject(Reason.OVERLOAD, RETRY_AFTER_BUSY_MS);
         return hasBudget(request) ? charge(request.tenant()) : Optional.empty();
@@ -110,9 +111,9 @@
         return usageByTeam.computeIfAbsent(team, t -> new TeamUsage(loop.nowMs()));
     }
 
-    /** Spreads the advice, so that clients that are rejected together don't come back together. */
+    /** Randomizes the retry delay, so that clients that are rejected at the same time don't retry at the same time. */
     private Optional<Rejection> reject(Reason reason, double retryAfterMs) {
-        double spread = 1 - RETRY_SPREAD + 2 * RETRY_SPREAD * random.nextDouble();
-        return Optional.of(new Rejection(reason, retryAfterMs * spread));
+        double factor = 1 - RETRY_SPREAD + 2 * RETRY_SPREAD * random.nextDouble();
+        return Optional.of(new Rejection(reason, retryAfterMs * factor));
     }
 }
--- a/src/main/java/maplerail/core/AdoptedStreams.java
+++ b/src/main/java/maplerail/core/AdoptedStreams.java
@@ -11,8 +11,8 @@
 import maplerail.routing.AttemptOutcome;
 
 /**
- * Streams that another process began and this one continues. The routing policy has no part in them: their only attempt
- * answers already. Each ends once, as answered, errored or unwanted, or is detached again.
+ * Streams that another process started and this one continues. The routing policy is not involved, as their only
+ * attempt already streams its response. Each stream ends once, as answered, errored or unwanted, or is detached again.
  */
 final class AdoptedStreams {
     private final EventLoop loop;
@@ -24,7 +24,7 @@
         this.metrics = metrics;
     }
 
-    /** Continues a stream; {@code connect} connects the engine's answer to the observer that it is given. */
+    /** Continues a stream; {@code connect} connects the engine's response to the given observer. */
     RequestHandle adopt(
             String requestClass,
             String requestId,
@@ -42,7 +42,7 @@
         return streams.size();
     }
 
-    /** Detaches at most {@code limit} of the streams, those that are between two events. */
+    /** Detaches at most {@code limit} streams; only streams between two events can be detached. */
     List<DetachedStream> detach(int limit) {
         List<DetachedStream> detached = new ArrayList<>();
         for (Stream stream : List.copyOf(streams)) {
@@ -52,10 +52,10 @@
         return detached;
     }
 
-    /** Breaks a share of the streams off, the oldest first: their clients ask for the rest elsewhere. */
-    void breakOff(double share) {
+    /** Aborts a share of the streams, oldest first; their clients resume them at other gateways. */
+    void abort(double share) {
         List<Stream> all = List.copyOf(streams);
-        all.subList(0, (int) Math.ceil(share * all.size())).forEach(Stream::breakOff);
+        all.subList(0, (int) Math.ceil(share * all.size())).forEach(Stream::abort);
     }
 
     private final class Stream implements AttemptObserver, RequestHandle {
@@ -79,7 +79,7 @@
         void start(Function<AttemptObserver, AttemptHandle> connect) {
             lastEventMs = loop.nowMs();
             handle = connect.apply(this);
-            watchForStall(stallTimeoutMs);
+            startStallTimer(stallTimeoutMs);
         }
 
         Optional<DetachedStream> detach() {
@@ -91,7 +91,7 @@
             });
         }
 
-        void breakOff() {
+        void abort() {
             if (!close(Verdict.ERRORED)) return;
             handle.abort();
             observer.onBroken();
@@ -107,13 +107,13 @@
             return true;
         }
 
-        /** An engine that falls silent in the middle of a stream is given up, as in {@link AttemptDispatcher}. */
-        private void watchForStall(double afterMs) {
-            stallTimer = loop.schedule(loop.nowMs() + afterMs, () -> {
+        /** Aborts a stream without events for the stall timeout, as {@link AttemptDispatcher} does. */
+        private void startStallTimer(double delayMs) {
+            stallTimer = loop.schedule(loop.nowMs() + delayMs, () -> {
                 if (closed) return;
-                double silentMs = paused ? 0 : loop.nowMs() - lastEventMs;
-                if (silentMs >= stallTimeoutMs) breakOff();
-                else watchForStall(stallTimeoutMs - silentMs);
+                double idleMs = paused ? 0 : loop.nowMs() - lastEventMs;
+                if (idleMs >= stallTimeoutMs) abort();
+                else startStallTimer(stallTimeoutMs - idleMs);
             });
         }
 
--- a/src/main/java/maplerail/core/Attempt.java
+++ b/src/main/java/maplerail/core/Attempt.java
@@ -7,9 +7,9 @@
     final long engine;
     final boolean readsPrompt;
     final double sentMs;
-    /** Null until it has been handed to the transport. */
+    /** Null until the attempt is started. */
     AttemptHandle handle;
-    /** Of its deadline or, once its answer streams, of the stall timeout. */
+    /** The timer of its deadline or, once its response streams, of the stall timeout. */
     EventLoop.Timer timeout;
 
     private double writtenMs = Double.NaN;
@@ -17,13 +17,13 @@
     boolean paused;
     boolean ended;
     double endedMs;
-    /** Its engine has said something of it, which proves that it arrived. */
-    boolean answered;
-    /** Of a read: what writers have said of it. */
-    final ReadInquiry inquiry = new ReadInquiry();
+    /** True once its engine has responded, which proves that the attempt arrived there. */
+    boolean engineResponded;
+    /** For a read: the results of asking writers whether it is still in flight. */
+    final ReadProbe probe = new ReadProbe();
     /** Why the gateway ended it; null while it is in flight, or if its engine or connection ended it. */
     AbortReason abortReason;
-    /** It ended, and may have been executed. */
+    /** True if it has ended and its engine may have executed it. */
     boolean maybeExecuted;
 
     Attempt(RequestRecord record, long engine, boolean readsPrompt, double sentMs) {
@@ -34,19 +34,19 @@
         this.sentMs = sentMs;
     }
 
-    /** Its last byte was written to a connection, which proves no arrival. */
+    /** Its last byte was written to a connection, which does not prove that it arrived. */
     void onWritten(double nowMs) {
         writtenMs = nowMs;
     }
 
-    /** When its last byte was written; as long as that is not known, when it was begun. */
+    /** When its last byte was written or, until that is known, when the attempt was started. */
     double writtenMs() {
         return Double.isNaN(writtenMs) ? sentMs : writtenMs;
     }
 
-    /** True if it was given up without a word of its engine: its connection may have been silent. */
-    boolean isUnheard() {
-        if (!ended || answered || abortReason == null) return false;
+    /** True if it was aborted without any response from its engine: its connection may be dead without an error. */
+    boolean wasAbortedWithoutResponse() {
+        if (!ended || engineResponded || abortReason == null) return false;
         return switch (abortReason) {
             case POLICY, UNHEARD, DEADLINE -> true;
             default -> false;
@@ -57,7 +57,7 @@
         return !ended;
     }
 
-    /** True if it is in flight and not a byte of it has been sent. */
+    /** True if it is in flight and no byte of it has been sent. */
     boolean isUnsent() {
         return !ended && handle != null && handle.isUnsent();
     }
--- a/src/main/java/maplerail/core/AttemptDispatcher.java
+++ b/src/main/java/maplerail/core/AttemptDispatcher.java
@@ -11,17 +11,17 @@
 import maplerail.routing.RoutingAction.StartAttempt;
 import maplerail.routing.RoutingEvent;
 
-/** Fourth stage: makes the attempts that the policy asks for, ends them, and reports how each one ended. */
+/** Fourth stage: starts and cancels attempts as the routing policy decides, and reports how each one ended. */
 final class AttemptDispatcher {
     private final EngineTransport transport;
     private final EventLoop loop;
     private final EngineDirectory directory;
     private final RequestRegistry registry;
-    private final ReservationKeeper reservations;
+    private final ReservationManager reservations;
     private final ResponseRelay relay;
     private final Metrics metrics;
     private final RequestEventLog events;
-    private final Set<RequestRecord> unsettled = new LinkedHashSet<>();
+    private final Set<RequestRecord> awaitingCleanup = new LinkedHashSet<>();
     private RoutingStage routing;
     private AttemptListener listener = AttemptListener.NONE;
     private Runnable refreshEndpoints = () -> {};
@@ -31,7 +31,7 @@
             EventLoop loop,
             EngineDirectory directory,
             RequestRegistry registry,
-            ReservationKeeper reservations,
+            ReservationManager reservations,
             ResponseRelay relay,
             Metrics metrics,
             RequestEventLog events) {
@@ -43,15 +43,15 @@
         this.relay = relay;
         this.metrics = metrics;
         this.events = events;
-        reservations.connect(new UnwaitedAttempts());
+        reservations.setAttemptControl(new ReservationAttemptControl());
     }
 
-    /** Sets where events are reported; to be called once, before any other method. */
-    void connect(RoutingStage stage) {
+    /** Sets the stage to which events are reported; to be called once, before any other method. */
+    void setRoutingStage(RoutingStage stage) {
         routing = stage;
     }
 
-    /** Sets what takes in endpoint updates that have arrived; it is run before each attempt. */
+    /** Sets the task that applies endpoint updates that have arrived; it is run before each attempt. */
     void setEndpointRefresh(Runnable refresh) {
         refreshEndpoints = refresh;
     }
@@ -60,17 +60,17 @@
         listener = newListener;
     }
 
-    void start(StartAttempt order) {
-        // A loop that is behind may not have got to an update that forbids this attempt.
+    void start(StartAttempt action) {
+        // A lagging loop may not yet have processed an update that forbids this attempt.
         refreshEndpoints.run();
-        RequestRecord record = registry.find(order.requestId());
+        RequestRecord record = registry.find(action.requestId());
         if (record == null) return;
-        checkClient(record);
-        boolean readsPrompt = directory.isReader(order.engine());
-        Attempt attempt = new Attempt(record, order.engine(), readsPrompt, loop.nowMs());
+        checkClientConnected(record);
+        boolean readsPrompt = directory.isReader(action.engine());
+        Attempt attempt = new Attempt(record, action.engine(), readsPrompt, loop.nowMs());
         record.attempts.add(attempt);
         double deadlineMs =
-                order.deadlineMs() > 0 ? Math.min(order.deadlineMs(), record.deadlineMs) : record.deadlineMs;
+                action.deadlineMs() > 0 ? Math.min(action.deadlineMs(), record.deadlineMs) : record.deadlineMs;
         if (!isAllowed(attempt, deadlineMs)) {
             end(attempt, AttemptOutcome.NOT_SENT, 0);
         } else if (record.reservations.isExpired() && !readsPrompt) {
@@ -78,17 +78,17 @@
         } else {
             attempt.timeout = loop.schedule(deadlineMs, () -> onDeadline(attempt));
             attempt.handle = new UnsentAttempt();
-            if (readsPrompt) reservations.beforeRead(record, () -> send(attempt, deadlineMs));
+            if (readsPrompt) reservations.sendReadWhenSafe(record, () -> send(attempt, deadlineMs));
             else send(attempt, deadlineMs);
         }
     }
 
-    /** Hands an attempt to the transport, unless it has ended while it waited for that. */
+    /** Sends an attempt, unless it ended while it waited for an earlier release. */
     private void send(Attempt attempt, double deadlineMs) {
         if (attempt.ended) return;
         RequestRecord record = attempt.record;
-        // What an attempt of this request has met on a connection that was open, another may meet on the next.
-        ConnectionChoice connection = record.hasUnheardAttempt() ? ConnectionChoice.NEW : ConnectionChoice.ANY;
+        // After an attempt without any response, the other open connections may be dead as well.
+        ConnectionChoice connection = record.hasAbortedWithoutResponse() ? ConnectionChoice.NEW : ConnectionChoice.ANY;
         if (attempt.readsPrompt) reservations.onReadStarted(attempt);
         attempt.handle = transport.send(attempt.engine, record.request, deadlineMs, connection, new Observer(attempt));
         reservations.review(record);
@@ -96,36 +96,36 @@
 
     private boolean isAllowed(Attempt attempt, double deadlineMs) {
         RequestRecord record = attempt.record;
-        return !record.answered
+        return !record.finished
                 && deadlineMs > loop.nowMs()
                 && attempt.number < record.terms.maxAttempts()
                 && directory.isReady(attempt.engine);
     }
 
-    /** Cancels an attempt, unless its stream is the client's already. */
-    void cancel(CancelAttempt order) {
-        RequestRecord record = registry.find(order.requestId());
-        if (record == null || order.attempt() >= record.attempts.size()) return;
-        Attempt attempt = record.attempts.get(order.attempt());
+    /** Cancels an attempt, unless it already streams to the client. */
+    void cancel(CancelAttempt action) {
+        RequestRecord record = registry.find(action.requestId());
+        if (record == null || action.attempt() >= record.attempts.size()) return;
+        Attempt attempt = record.attempts.get(action.attempt());
         if (record.winner != attempt) abort(attempt, AttemptOutcome.CANCELLED, AbortReason.POLICY);
     }
 
     /** Ends a request whose client has disconnected. */
     void onClientDisconnected(RequestRecord record) {
-        if (registry.answer(record, Verdict.UNWANTED)) abandon(record);
+        if (registry.finish(record, Verdict.UNWANTED)) abandon(record);
     }
 
-    /** Ends what is in flight for a request that has its final answer, or needs none. */
+    /** Aborts the attempts of a request that has its final response or needs none. */
     void abandon(RequestRecord record) {
         abortAll(record);
         routing.report(new RoutingEvent.RequestAbandoned(record.number));
-        registry.settle(record);
+        registry.cleanUp(record);
     }
 
-    /** Ends the attempts of which nothing was sent yet, at engines that no longer take new work. */
+    /** Aborts attempts that are not sent yet and whose engines no longer accept new work. */
     void withdrawUnsent() {
         for (RequestRecord record : registry.all()) {
-            // A copy, as the policy may answer an aborted attempt with another one of the same request.
+            // A copy, as the policy may react to an aborted attempt by starting another one of the same request.
             for (Attempt attempt : List.copyOf(record.attempts)) {
                 if (attempt.isUnsent() && !directory.isReady(attempt.engine)) {
                     abort(attempt, AttemptOutcome.UNREACHABLE, AbortReason.ENGINE_NOT_READY);
@@ -135,33 +135,33 @@
     }
 
     /**
-     * Settles the requests of which an attempt ended. To be called once the policy has made its decisions, since it may send
-     * the same request to a reader whose state would be released here.
+     * Cleans up the requests of which an attempt ended. To be called after the policy has made its decisions, since it
+     * may send the same request to a reader whose state would be released here.
      */
-    void settle() {
-        unsettled.forEach(registry::settle);
-        unsettled.clear();
+    void cleanUp() {
+        awaitingCleanup.forEach(registry::cleanUp);
+        awaitingCleanup.clear();
     }
 
-    /** The client may have disconnected without its connection's turn on the loop having come. */
-    private void checkClient(RequestRecord record) {
-        if (!record.answered && !record.observer.isConnected()) onClientDisconnected(record);
+    /** Detects a client that has disconnected although the loop has not handled the event of its connection yet. */
+    private void checkClientConnected(RequestRecord record) {
+        if (!record.finished && !record.observer.isConnected()) onClientDisconnected(record);
     }
 
     private void onEvent(Attempt attempt, byte[] event) {
         RequestRecord record = attempt.record;
         attempt.lastEventMs = loop.nowMs();
-        attempt.answered = true;
-        if (record.winner == null && !record.answered) beginStream(attempt);
+        attempt.engineResponded = true;
+        if (record.winner == null && !record.finished) startStream(attempt);
         if (record.winner == attempt) relay.onEvent(attempt, event);
         else abort(attempt, AttemptOutcome.CANCELLED, AbortReason.ANOTHER_STREAMS);
     }
 
-    private void beginStream(Attempt attempt) {
+    private void startStream(Attempt attempt) {
         RequestRecord record = attempt.record;
         record.winner = attempt;
         attempt.timeout.cancel();
-        watchForStall(attempt, record.request.payload().stallTimeoutMs());
+        startStallTimer(attempt, record.request.payload().stallTimeoutMs());
         record.deadlineTimer.cancel();
         reservations.onStreamStarted(record);
         double elapsedMs = loop.nowMs() - attempt.sentMs;
@@ -169,15 +169,15 @@
     }
 
     /**
-     * Breaks a stream off whose engine has fallen silent. Its connection may stay open, and no deadline runs once a stream
-     * has begun: the client would wait for ever instead of asking for the rest elsewhere.
+     * Aborts the stream if its engine sends no event within the stall timeout. The connection may stay open, and no
+     * deadline applies once a stream has begun: the client would wait forever instead of resuming the stream elsewhere.
      */
-    private void watchForStall(Attempt attempt, double afterMs) {
-        attempt.timeout = loop.schedule(loop.nowMs() + afterMs, () -> {
-            double silentMs = attempt.paused ? 0 : loop.nowMs() - attempt.lastEventMs;
+    private void startStallTimer(Attempt attempt, double delayMs) {
+        attempt.timeout = loop.schedule(loop.nowMs() + delayMs, () -> {
+            double idleMs = attempt.paused ? 0 : loop.nowMs() - attempt.lastEventMs;
             double limitMs = attempt.record.request.payload().stallTimeoutMs();
-            if (silentMs >= limitMs) abort(attempt, AttemptOutcome.RESET, AbortReason.STALLED);
-            else if (!attempt.ended) watchForStall(attempt, limitMs - silentMs);
+            if (idleMs >= limitMs) abort(attempt, AttemptOutcome.RESET, AbortReason.STALLED);
+            else if (!attempt.ended) startStallTimer(attempt, limitMs - idleMs);
         });
     }
 
@@ -185,12 +185,12 @@
         if (attempt.record.winner != attempt) abort(attempt, AttemptOutcome.TIMEOUT, AbortReason.DEADLINE);
     }
 
-    /** Fails a request that no engine can use: it would use up all its attempts, and each engine would seem to fail. */
+    /** Fails an invalid request: retries would use up all its attempts, and each engine would count as failing. */
     private void onInvalidRequest(Attempt attempt) {
         RequestRecord record = attempt.record;
-        boolean unanswered = registry.answer(record, Verdict.ERRORED);
+        boolean finished = registry.finish(record, Verdict.ERRORED);
         end(attempt, AttemptOutcome.CANCELLED, 0);
-        if (!unanswered) return;
+        if (!finished) return;
         abortAll(record);
         routing.report(new RoutingEvent.RequestAbandoned(record.number));
         record.observer.onFailed(ResponseObserver.Reason.INVALID);
@@ -219,11 +219,11 @@
         events.attemptEnded(attempt, outcome, loop.nowMs() - attempt.sentMs);
         attempt.maybeExecuted = !attempt.readsPrompt && !outcome.provesNoEffect();
         RequestRecord record = attempt.record;
-        unsettled.add(record);
+        awaitingCleanup.add(record);
         reservations.onAttemptEnded(attempt, outcome);
-        // An answer may be complete without an event; it is the client's all the same.
+        // A response may complete without any event; it is delivered to the client as well.
         boolean completed = outcome == AttemptOutcome.COMPLETED;
-        if (completed && record.winner == null && !record.answered) record.winner = attempt;
+        if (completed && record.winner == null && !record.finished) record.winner = attempt;
         if (record.winner == attempt) relay.onEnded(attempt, outcome);
         double elapsedMs = loop.nowMs() - attempt.sentMs;
         if (outcome == AttemptOutcome.PROMPT_READ) {
@@ -237,29 +237,29 @@
                 outcome,
                 elapsedMs,
                 cachedTokens,
-                record.answered,
+                record.finished,
                 LoadReport.NONE));
     }
 
-    /** Ends what waits for a state, or for a read, that is not to be waited for. */
-    private final class UnwaitedAttempts implements ReservationKeeper.Attempts {
+    /** Aborts attempts and reports events on behalf of the reservation manager. */
+    private final class ReservationAttemptControl implements ReservationManager.AttemptControl {
         @Override
-        public void abortUnheard(Attempt read) {
+        public void abortUnresponsive(Attempt read) {
             transport.closeIdleConnections(read.engine);
             abort(read, AttemptOutcome.CANCELLED, AbortReason.UNHEARD);
         }
 
         @Override
-        public void onUnheard(Attempt read) {
+        public void onUnresponsive(Attempt read) {
             routing.report(new RoutingEvent.ReadOverdue(read.record.number, read.number));
         }
 
         @Override
-        public void onPlaceHeld(RequestRecord record, long writer) {
+        public void onPlaceReserved(RequestRecord record, long writer) {
             routing.report(new RoutingEvent.PlaceReserved(record.number, writer));
         }
 
-        /** The policy is told what a writer would say. */
+        /** Reports the outcome to the policy that a writer would report. */
         @Override
         public void endWithStateLost(Attempt write) {
             write.handle.abort();
@@ -277,8 +277,8 @@
 
         @Override
         public boolean isNeeded() {
-            checkClient(attempt.record);
-            // Decided while engines dropped repeats, it may have waited for a connection until they no longer do.
+            checkClientConnected(attempt.record);
+            // Its idempotency key may have expired while the attempt waited for a connection.
             if (attempt.record.isKeyExpiredFor(attempt, loop.nowMs())) {
                 abort(attempt, AttemptOutcome.CANCELLED, AbortReason.KEY_EXPIRED);
             }
--- a/src/main/java/maplerail/core/AttemptHandle.java
+++ b/src/main/java/maplerail/core/AttemptHandle.java
@@ -1,40 +1,40 @@
 package maplerail.core;
 
-/** An attempt in flight. */
+/** A handle to an attempt in flight. */
 public interface AttemptHandle {
-    /** True while not a byte of it has been sent. */
+    /** True while no byte of it has been sent. */
     boolean isUnsent();
 
-    /** Cancels it: its observer is not called any more. */
+    /** Cancels it; its observer is not called any more. */
     void abort();
 
-    /** For the log, as {@code key=value}: the connection, and how much of the attempt was written to it. */
+    /** For the log, as {@code key=value} pairs: the connection, and how much of the attempt was written to it. */
     default String describe() {
         return "";
     }
 
-    /** True if a reader has said that the read has ended, though its answer may not be complete. */
+    /** True if a reader has reported the end of the read, although its response may be incomplete. */
     default boolean isPromptRead() {
         return false;
     }
 
-    /** When its connection was opened; before everything if that is not known. */
+    /** When its connection was opened; negative infinity if unknown. */
     default double connectionOpenedMs() {
         return Double.NEGATIVE_INFINITY;
     }
 
-    /** When its connection last carried an answer before this attempt or, if it is new, was opened. */
+    /** When its connection last received a response before this attempt or, if it is new, was opened. */
     default double connectionLastResponseMs() {
         return Double.NEGATIVE_INFINITY;
     }
 
-    /** Stops reading the answer. */
+    /** Stops reading the response. */
     void pause();
 
-    /** Reads the answer again. */
+    /** Continues reading the response. */
     void resume();
 
-    /** True between two events of a streaming answer, when {@link #detachConnection} is possible. */
+    /** True between two events of a streaming response, when {@link #detachConnection} is possible. */
     default boolean isBetweenEvents() {
         return false;
     }
@@ -45,6 +45,6 @@
      * @throws IllegalStateException unless {@link #isBetweenEvents}
      */
     default Object detachConnection() {
-        throw new IllegalStateException("a stream can be detached between two events only");
+        throw new IllegalStateException("a stream can only be detached between two events");
     }
 }
--- a/src/main/java/maplerail/core/AttemptListener.java
+++ b/src/main/java/maplerail/core/AttemptListener.java
@@ -2,9 +2,9 @@
 
 import maplerail.routing.AttemptOutcome;
 
-/** Is told how attempts ended at engines, for what gateways of a tier tell each other. Called on the event loop. */
+/** Observes how attempts ended at engines, for the data that gateways exchange. Called on the event loop. */
 public interface AttemptListener {
-    /** Ignores everything. */
+    /** A listener that does nothing. */
     AttemptListener NONE = new AttemptListener() {
         @Override
         public void onPromptRead(long engine, double elapsedMs, double uncachedTokens) {}
@@ -16,8 +16,8 @@
     /**
      * A prompt was read.
      *
-     * @param elapsedMs the time from sending the attempt to its end
-     * @param uncachedTokens the part of the prompt that had to be read
+     * @param elapsedMs the time from the start of the attempt to its end
+     * @param uncachedTokens the number of prompt tokens that were not cached and had to be read
      */
     void onPromptRead(long engine, double elapsedMs, double uncachedTokens);
 
--- a/src/main/java/maplerail/core/AttemptObserver.java
+++ b/src/main/java/maplerail/core/AttemptObserver.java
@@ -2,26 +2,26 @@
 
 import maplerail.routing.AttemptOutcome;
 
-/** Receives what becomes of one attempt. Exactly one of {@link #onInvalidRequest} and {@link #onEnded} is called, last. */
+/** Receives the events of one attempt; the last call is either {@link #onInvalidRequest} or {@link #onEnded}. */
 public interface AttemptObserver {
-    /** False if nobody wants the attempt any more; asked before one that had to wait for a connection is sent. */
+    /** False if the attempt is no longer needed; checked before an attempt that waited for a connection is sent. */
     default boolean isNeeded() {
         return true;
     }
 
-    /** The attempt has been sent completely; called once, possibly before {@link EngineTransport#send} returns. */
+    /** The attempt was sent completely; called once, possibly before {@link EngineTransport#send} returns. */
     void onSent();
 
-    /** An event of a streaming answer. */
+    /** An event of a streaming response was received. */
     void onEvent(byte[] event);
 
-    /** The engine says that the request itself is at fault; any other would say so too. */
+    /** The engine rejected the request as invalid, as any other engine would. */
     void onInvalidRequest();
 
     /**
      * The attempt has ended.
      *
-     * @param cachedTokens the part of the prompt that did not have to be read
+     * @param cachedTokens the number of prompt tokens that were cached and did not have to be read
      */
     void onEnded(AttemptOutcome outcome, double cachedTokens);
 }
--- a/src/main/java/maplerail/core/Broker.java
+++ b/src/main/java/maplerail/core/Broker.java
@@ -28,17 +28,17 @@
 import maplerail.routing.RoutingSettings;
 
 /**
- * Serves requests by the decisions of one routing policy. A request passes intake, admission, routing, dispatch, relay and
- * registry. All calls are made on the event loop.
+ * Serves requests as one routing policy decides. A request passes through intake, admission, routing, dispatch, relay
+ * and registry. All methods must be called on the event loop.
  */
 public final class Broker {
-    /** How long after a deadline the broker itself answers; the policy does so before the deadline. */
+    /** How long after its deadline the broker fails a request; the policy normally ends it before the deadline. */
     private static final double DEADLINE_SLACK_MS = 4;
 
     private final EventLoop loop;
     private final EngineDirectory directory;
     private final AdmissionStage admission;
-    private final ReservationKeeper reservations;
+    private final ReservationManager reservations;
     private final RequestRegistry registry;
     private final RequestIntake intake;
     private final RoutingStage routing;
@@ -55,8 +55,8 @@
      * Creates a broker without requests.
      *
      * @param policy a policy that was created from {@code settings}
-     * @param log receives the policy's log lines
-     * @param classNames the names under which the answers of each class are counted, by its index
+     * @param log receives the log lines of the policy and the broker
+     * @param classNames the names of the request classes in the metrics, by class index
      */
     public Broker(
             RoutingPolicy policy,
@@ -75,18 +75,18 @@
         terms = RequestTerms.of(settings, classNames, metrics);
         adoptedStreams = new AdoptedStreams(loop, metrics);
         directory = new EngineDirectory(settings.engineKinds());
-        reservations = new ReservationKeeper(transport, loop, directory, events);
+        reservations = new ReservationManager(transport, loop, directory, events);
         registry = new RequestRegistry(admission, reservations, metrics);
         intake = new RequestIntake(loop, registry);
         relay = new ResponseRelay(registry, loop);
         dispatcher = new AttemptDispatcher(transport, loop, directory, registry, reservations, relay, metrics, events);
-        routing = new RoutingStage(policy, loop, new ActionHandler(), dispatcher::settle, log);
-        dispatcher.connect(routing);
+        routing = new RoutingStage(policy, loop, new ActionHandler(), dispatcher::cleanUp, log);
+        dispatcher.setRoutingStage(routing);
     }
 
     // ---- Requests ----
 
-    /** Takes a request; its observer gets exactly one final answer in any case. */
+    /** Accepts or rejects a request; its observer always receives exactly one final response. */
     public RequestHandle submit(InferenceRequest request, ResponseObserver observer) {
         Optional<RequestRecord> opened = intake.open(request, observer, terms, latestDeadlineMs);
         if (opened.isEmpty()) {
@@ -101,14 +101,14 @@
             return RequestHandle.CLOSED;
         }
         record.admitted = true;
-        record.deadlineTimer = loop.schedule(record.deadlineMs + DEADLINE_SLACK_MS, () -> onUnansweredDeadline(record));
+        record.deadlineTimer = loop.schedule(record.deadlineMs + DEADLINE_SLACK_MS, () -> onDeadlineExpired(record));
         routing.report(arrivalOf(record));
         return new OpenRequest(record);
     }
 
     private void reject(RequestRecord record, AdmissionStage.Rejection rejection) {
-        registry.answer(record, rejection.reason() == Reason.INVALID ? Verdict.ERRORED : Verdict.DEFERRED);
-        registry.settle(record);
+        registry.finish(record, rejection.reason() == Reason.INVALID ? Verdict.ERRORED : Verdict.DEFERRED);
+        registry.cleanUp(record);
         if (rejection.reason() == Reason.DRAINING) metrics.count(EventCount.REQUESTS_REFUSED_DRAINING);
         events.requestEnded(record, "rejected", rejection.reason());
         record.observer.onRejected(rejection.reason(), rejection.retryAfterMs());
@@ -130,9 +130,9 @@
                 request.resumed());
     }
 
-    /** The policy gave no answer in time: none may be late for want of one. */
-    private void onUnansweredDeadline(RequestRecord record) {
-        if (record.answered || record.winner != null) return;
+    /** Fails a request that the policy did not end in time, so that the final response is never late. */
+    private void onDeadlineExpired(RequestRecord record) {
+        if (record.finished || record.winner != null) return;
         log.accept("request not answered by its deadline request=" + record.number);
         fail(record.number, Reason.DEADLINE);
         dispatcher.abandon(record);
@@ -140,36 +140,36 @@
 
     private void fail(long number, Reason reason) {
         RequestRecord record = registry.find(number);
-        if (record == null || !registry.answer(record, Verdict.ERRORED)) return;
+        if (record == null || !registry.finish(record, Verdict.ERRORED)) return;
         events.requestEnded(record, "failed", reason);
-        registry.settle(record);
+        registry.cleanUp(record);
         record.observer.onFailed(reason);
     }
 
-    // ---- Settings and knowledge from outside ----
+    // ---- Settings, endpoints and cached prefixes ----
 
     /**
-     * Sets other settings for requests from now on; open requests keep the ones that they were taken under. The kinds of
-     * engines stay, as the endpoint list was read by them.
+     * Replaces the settings for new requests; open requests keep the settings under which they were accepted. The
+     * engine kinds are not replaced, as the endpoint list was interpreted by them.
      */
     public void changeSettings(RoutingSettings settings, List<String> classNames) {
         terms = RequestTerms.of(settings, classNames, metrics);
         routing.report(new RoutingEvent.SettingsChanged(settings));
     }
 
-    /** Sets the latest deadline of requests from now on, however long their clients would wait: the process exits. */
+    /** Limits the deadlines of new requests, however long their clients would wait, because the process exits. */
     public void limitDeadlines(double latestMs) {
         latestDeadlineMs = latestMs;
     }
 
-    /** Applies an update of the endpoint list; attempts of which nothing was sent yet obey it too. */
+    /** Applies an update of the endpoint list, also to attempts that are not sent yet. */
     public void updateEndpoints(EndpointUpdate update) {
         directory.apply(update);
         routing.report(update);
         dispatcher.withdrawUnsent();
     }
 
-    /** Sets what takes in endpoint updates that have arrived; it is run before each attempt. */
+    /** Sets the task that applies endpoint updates that have arrived; it is run before each attempt. */
     public void setEndpointRefresh(Runnable refresh) {
         dispatcher.setEndpointRefresh(refresh);
     }
@@ -179,17 +179,17 @@
         events.setEngineNames(names);
     }
 
-    /** Sets who is told how attempts ended. */
+    /** Sets the listener that is notified of the ends of attempts. */
     public void setAttemptListener(AttemptListener listener) {
         dispatcher.setListener(listener);
     }
 
-    /** The prefixes that are assumed to be cached at engines, for the process that serves here next. */
+    /** The prefixes that are assumed to be cached at engines, for handover to the next process. */
     public List<PrefixCached> cachedPrefixes() {
         return routing.policy().cachedPrefixes();
     }
 
-    /** Takes over what the process that served here before assumed to be cached. */
+    /** Restores the prefixes that the previous process assumed to be cached. */
     public void restoreCachedPrefixes(List<PrefixCached> cached) {
         cached.forEach(routing::report);
     }
@@ -200,26 +200,27 @@
         reads.forEach(routing::report);
     }
 
-    // ---- Streams that change processes, or end with this one ----
+    // ---- Handover and termination of streams ----
 
     /**
-     * Breaks a share of the running streams off, the oldest first, for a process that has no time to finish them: their
-     * clients ask for the rest elsewhere. Requests that do not stream yet go on. To be called by a timer of the loop, so that
-     * what engines have finished has been passed on to its end.
+     * Aborts a share of the running streams, oldest first, when the process has no time to finish them; their clients
+     * resume them elsewhere. Requests that do not stream yet continue. To be called from a timer of the loop, so that
+     * streams that engines have finished are completed first.
      */
     public void abortStreams(double share) {
         List<RequestRecord> streams = registry.streaming();
         for (RequestRecord record : streams.subList(0, (int) Math.ceil(share * streams.size()))) {
-            if (!registry.answer(record, Verdict.ERRORED)) continue;
+            if (!registry.finish(record, Verdict.ERRORED)) continue;
             dispatcher.abandon(record);
             record.observer.onBroken();
         }
-        adoptedStreams.breakOff(share);
+        adoptedStreams.abort(share);
     }
 
     /**
-     * Detaches at most {@code limit} running streams, so that another process continues them. Streams within an event, or
-     * whose client is behind, stay. A detached stream is counted by the process that ends it.
+     * Detaches at most {@code limit} running streams, so that another process can continue them. Streams in the middle
+     * of an event, or with a slow client, are not detached. A detached stream is counted by the process in which it
+     * ends.
      */
     public List<DetachedStream> detachStreams(int limit) {
         List<DetachedStream> detached = new ArrayList<>(adoptedStreams.detach(limit));
@@ -241,7 +242,7 @@
         });
     }
 
-    /** Continues a stream that another process detached; {@code connect} connects its engine's answer. */
+    /** Continues a stream that another process detached; {@code connect} connects its engine's response. */
     public RequestHandle adoptStream(
             String requestClass,
             String requestId,
@@ -251,89 +252,90 @@
         return adoptedStreams.adopt(requestClass, requestId, observer, stallTimeoutMs, connect);
     }
 
-    // ---- Figures ----
+    // ---- Statistics ----
 
-    /** The number of streams that another process began and this one continues. */
+    /** The number of streams that another process started and this one continues. */
     public int adoptedStreams() {
         return adoptedStreams.size();
     }
 
-    /** The readers that are listed. */
+    /** The readers in the endpoint list. */
     public Set<Long> readers() {
         return directory.readers();
     }
 
-    /** The number of listed engines that the policy gives no new work for now. */
+    /** The number of listed engines to which the policy currently sends no new work. */
     public int ejectedEngines() {
         return routing.policy().ejectedEngines();
     }
 
-    /** The number of engines that are listed. */
+    /** The number of engines in the endpoint list. */
     public int listedEngines() {
         return directory.size();
     }
 
-    /** The number of requests that wait for their final answer. */
+    /** The number of requests without a final response. */
     public int unfinishedRequests() {
-        return registry.unanswered() + adoptedStreams.size();
+        return registry.unfinished() + adoptedStreams.size();
     }
 
-    /** The number of requests of which anything is still remembered. */
+    /** The number of requests with a record, including finished ones whose attempts are still in flight. */
     public int openRequests() {
         return registry.size() + adoptedStreams.size();
     }
 
-    /** The number of releases that are not over; a process that exited now might leave states held. */
+    /** The number of unfinished releases; a process that exits before may leave states reserved at engines. */
     public int pendingReleases() {
         return reservations.pendingReleases();
     }
 
-    /** Carries the policy's actions out. Endpoints are always subscribed to, so it ignores actions that ask for them. */
+    /** Executes the policy's actions; ignores requests for endpoint updates, which are always subscribed to. */
     private final class ActionHandler implements Handler {
         @Override
-        public void onStartAttempt(StartAttempt order) {
-            dispatcher.start(order);
+        public void onStartAttempt(StartAttempt action) {
+            dispatcher.start(action);
         }
 
         @Override
-        public void onCancelAttempt(CancelAttempt order) {
-            dispatcher.cancel(order);
+        public void onCancelAttempt(CancelAttempt action) {
+            dispatcher.cancel(action);
         }
 
         @Override
-        public void onReleaseState(ReleaseState order) {
-            RequestRecord record = registry.find(order.requestId());
+        public void onReleaseState(ReleaseState action) {
+            RequestRecord record = registry.find(action.requestId());
             if (record != null) reservations.releaseUnused(record);
         }
 
         @Override
-        public void onReservePlace(ReservePlace order) {
-            RequestRecord record = registry.find(order.requestId());
-            if (record != null && directory.isReady(order.engine())) reservations.askWriter(record, order.engine());
+        public void onReservePlace(ReservePlace action) {
+            RequestRecord record = registry.find(action.requestId());
+            if (record != null && directory.isReady(action.engine()))
+                reservations.reservePlace(record, action.engine());
         }
 
         @Override
-        public void onRejectRequest(RejectRequest order) {
-            RequestRecord record = registry.find(order.requestId());
-            if (record == null || !registry.answer(record, Verdict.DEFERRED)) return;
+        public void onRejectRequest(RejectRequest action) {
+            RequestRecord record = registry.find(action.requestId());
+            if (record == null || !registry.finish(record, Verdict.DEFERRED)) return;
             events.requestEnded(record, "rejected", Reason.OVERLOAD);
-            registry.settle(record);
-            record.observer.onRejected(Reason.OVERLOAD, order.retryAfterMs());
+            registry.cleanUp(record);
+            record.observer.onRejected(Reason.OVERLOAD, action.retryAfterMs());
         }
 
         @Override
-        public void onFailRequest(FailRequest order) {
-            fail(order.requestId(), Reason.ENGINE);
+        public void onFailRequest(FailRequest action) {
+            fail(action.requestId(), Reason.ENGINE);
         }
 
         @Override
-        public void onSetTimer(SetTimer order) {
-            loop.schedule(order.atMs(), () -> routing.report(new RoutingEvent.TimerFired(order.token())));
+        public void onSetTimer(SetTimer action) {
+            loop.schedule(action.atMs(), () -> routing.report(new RoutingEvent.TimerFired(action.token())));
         }
 
         @Override
-        public void onLogMessage(LogMessage order) {
-            log.accept(order.text());
+        public void onLogMessage(LogMessage action) {
+            log.accept(action.text());
         }
     }
 
--- a/src/main/java/maplerail/core/ConnectionChoice.java
+++ b/src/main/java/maplerail/core/ConnectionChoice.java
@@ -1,9 +1,9 @@
 package maplerail.core;
 
-/** Which connection an attempt is sent on. */
+/** Selects the connection on which an attempt or call is sent. */
 public enum ConnectionChoice {
-    /** One that is open and idle, if there is any. */
+    /** An open idle connection, if there is one. */
     ANY,
-    /** A new one: those that are open may have fallen silent. */
+    /** A new connection, as open ones may be dead without an error. */
     NEW
 }
--- a/src/main/java/maplerail/core/DecisionLog.java
+++ b/src/main/java/maplerail/core/DecisionLog.java
@@ -9,8 +9,8 @@
 import maplerail.routing.RoutingPolicy;
 
 /**
- * Logs what a policy is told and what it decides, a line each, so that what many gateways do together can be counted from
- * their logs. It changes nothing, and is created only where its logger is on.
+ * Logs the events and actions of a routing policy, one line each, so that the combined behaviour of many gateways can
+ * be analysed from their logs. It does not alter decisions, and is created only if its logger is enabled.
  */
 public final class DecisionLog implements RoutingPolicy {
     private static final int NANOS_PER_MICRO = 1_000;
@@ -18,7 +18,7 @@
     private final RoutingPolicy policy;
     private final Consumer<String> log;
 
-    /** Creates a log of a policy's decisions. */
+    /** Creates a policy that delegates to another one and logs its decisions. */
     public DecisionLog(RoutingPolicy policy, Consumer<String> log) {
         this.policy = policy;
         this.log = log;
@@ -26,12 +26,12 @@
 
     @Override
     public List<RoutingAction> step(double nowMs, List<? extends RoutingEvent> events) {
-        EventLines eventLines = new EventLines(nowMs);
+        EventLogger eventLines = new EventLogger(nowMs);
         events.forEach(event -> event.accept(eventLines));
         long startedNanos = System.nanoTime();
         List<RoutingAction> actions = policy.step(nowMs, events);
         long tookMicros = (System.nanoTime() - startedNanos) / NANOS_PER_MICRO;
-        ActionLines actionLines = new ActionLines(nowMs, tookMicros);
+        ActionLogger actionLines = new ActionLogger(nowMs, tookMicros);
         actions.forEach(action -> action.accept(actionLines));
         return actions;
     }
@@ -46,20 +46,20 @@
         return policy.cachedPrefixes();
     }
 
-    private void line(double nowMs, String format, Object... values) {
+    private void writeLine(double nowMs, String format, Object... values) {
         log.accept(String.format(Locale.ROOT, "%.0f ", nowMs) + String.format(Locale.ROOT, format, values));
     }
 
-    private final class EventLines implements RoutingEvent.Handler {
+    private final class EventLogger implements RoutingEvent.Handler {
         private final double nowMs;
 
-        EventLines(double nowMs) {
+        EventLogger(double nowMs) {
             this.nowMs = nowMs;
         }
 
         @Override
         public void onRequestArrived(RoutingEvent.RequestArrived e) {
-            line(
+            writeLine(
                     nowMs,
                     "arrived request=%d class=%d tenant=%d session=%x prompt_tokens=%.0f prefix=%x prefix_tokens=%.0f"
                             + " budget_ms=%.0f resumed=%b",
@@ -76,7 +76,7 @@
 
         @Override
         public void onFirstToken(RoutingEvent.FirstToken e) {
-            line(
+            writeLine(
                     nowMs,
                     "first_token request=%d attempt=%d engine=%x elapsed_ms=%.0f",
                     e.requestId(),
@@ -87,7 +87,7 @@
 
         @Override
         public void onAttemptEnded(RoutingEvent.AttemptEnded e) {
-            line(
+            writeLine(
                     nowMs,
                     "attempt_ended request=%d attempt=%d engine=%x outcome=%s elapsed_ms=%.0f cached_tokens=%.0f",
                     e.requestId(),
@@ -100,18 +100,18 @@
 
         @Override
         public void onRequestAbandoned(RoutingEvent.RequestAbandoned e) {
-            line(nowMs, "abandoned request=%d", e.requestId());
+            writeLine(nowMs, "abandoned request=%d", e.requestId());
         }
 
         @Override
         public void onEndpointUpdate(RoutingEvent.EndpointUpdate e) {
             int count = e.endpoints().size();
-            line(nowMs, "endpoints kind=%s version=%d count=%d", e.kind(), e.version(), count);
-            e.endpoints().forEach(this::endpoint);
+            writeLine(nowMs, "endpoints kind=%s version=%d count=%d", e.kind(), e.version(), count);
+            e.endpoints().forEach(this::writeEndpoint);
         }
 
-        private void endpoint(Endpoint e) {
-            line(
+        private void writeEndpoint(Endpoint e) {
+            writeLine(
                     nowMs,
                     "endpoint engine=%x state=%s kind=%d zone=%d cell=%d started_ms=%.0f capacity_scale=%.2f",
                     e.engine(),
@@ -124,43 +124,43 @@
         }
     }
 
-    private final class ActionLines implements RoutingAction.Handler {
+    private final class ActionLogger implements RoutingAction.Handler {
         private final double nowMs;
         private final long tookMicros;
 
-        ActionLines(double nowMs, long tookMicros) {
+        ActionLogger(double nowMs, long tookMicros) {
             this.nowMs = nowMs;
             this.tookMicros = tookMicros;
         }
 
         @Override
         public void onStartAttempt(RoutingAction.StartAttempt a) {
-            line(nowMs, "start_attempt request=%d engine=%x took_us=%d", a.requestId(), a.engine(), tookMicros);
+            writeLine(nowMs, "start_attempt request=%d engine=%x took_us=%d", a.requestId(), a.engine(), tookMicros);
         }
 
         @Override
         public void onCancelAttempt(RoutingAction.CancelAttempt a) {
-            line(nowMs, "cancel_attempt request=%d attempt=%d", a.requestId(), a.attempt());
+            writeLine(nowMs, "cancel_attempt request=%d attempt=%d", a.requestId(), a.attempt());
         }
 
         @Override
         public void onReleaseState(RoutingAction.ReleaseState a) {
-            line(nowMs, "release_state request=%d", a.requestId());
+            writeLine(nowMs, "release_state request=%d", a.requestId());
         }
 
         @Override
         public void onReservePlace(RoutingAction.ReservePlace a) {
-            line(nowMs, "reserve_place request=%d engine=%x", a.requestId(), a.engine());
+            writeLine(nowMs, "reserve_place request=%d engine=%x", a.requestId(), a.engine());
         }
 
         @Override
         public void onRejectRequest(RoutingAction.RejectRequest a) {
-            line(nowMs, "reject request=%d retry_after_ms=%.0f", a.requestId(), a.retryAfterMs());
+            writeLine(nowMs, "reject request=%d retry_after_ms=%.0f", a.requestId(), a.retryAfterMs());
         }
 
         @Override
         public void onFailRequest(RoutingAction.FailRequest a) {
-            line(nowMs, "fail request=%d", a.requestId());
+            writeLine(nowMs, "fail request=%d", a.requestId());
         }
     }
 }
--- a/src/main/java/maplerail/core/DetachedStream.java
+++ b/src/main/java/maplerail/core/DetachedStream.java
@@ -1,11 +1,11 @@
 package maplerail.core;
 
 /**
- * A stream between two events, on its way to another process.
+ * A stream that was detached between two events, for handover to another process.
  *
  * @param requestClass the name of the request's class
  * @param requestId the client's id of the request
- * @param clientConnection what the front detached
- * @param engineConnection what the transport detached
+ * @param clientConnection the client's connection, as detached by the front
+ * @param engineConnection the engine's connection, as detached by the transport
  */
 public record DetachedStream(String requestClass, String requestId, Object clientConnection, Object engineConnection) {}
--- a/src/main/java/maplerail/core/DrainSchedule.java
+++ b/src/main/java/maplerail/core/DrainSchedule.java
@@ -3,68 +3,71 @@
 import maplerail.core.Lifecycle.Phase;
 
 /**
- * What holds for clients since the process began to send them away, as a lame duck or to stop. Connections end with what is
- * open on them; a while later no request is taken any more, as its answer might not end in time; later still a request that
- * is not complete yet is not waited for. Thread-safe: the phase may move on any thread.
+ * The steps by which the process drains its clients, as a lame duck or to stop. First, connections are closed after the
+ * requests that are open on them. A while later, new requests are rejected, as their responses might not end in time.
+ * Later still, requests that are incomplete are rejected as well. Thread-safe: the phase may change on any thread.
  */
 public final class DrainSchedule {
-    /** After the operators' call, in which connections still arrive; they judge a request by its age 4 s after the call. */
-    private static final double LAME_DUCK_TAKING_MS = 1_000;
+    /**
+     * Time after the lame duck call in which requests are accepted, as connections still arrive; operators check the
+     * age of open requests 4 s after the call.
+     */
+    private static final double LAME_DUCK_ACCEPTING_MS = 1_000;
 
-    /** After SIGTERM, which may have been heard late: what comes 0.7 s after it has to be answered before the kill. */
-    private static final double STOPPING_TAKING_MS = 550;
+    /** The same after SIGTERM, which may be handled late: a request 0.7 s after it needs a response before SIGKILL. */
+    private static final double STOPPING_ACCEPTING_MS = 550;
 
-    /** After no request is taken any more, in which one that is on its way may become complete. */
-    private static final double INCOMPLETE_MS = 1_000;
+    /** Time after new requests are rejected in which a partly received request may still be completed. */
+    private static final double INCOMPLETE_REQUEST_GRACE_MS = 1_000;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private final EventLoop loop;
-    private volatile double refusingFromMs = NEVER;
-    private volatile boolean sendingAway;
+    private volatile double rejectingFromMs = NEVER;
+    private volatile boolean draining;
     private volatile int drainCount;
 
-    /** Creates the schedule of a process that is in the lifecycle's phase now. */
+    /** Creates the schedule of a process with the given lifecycle; later phase changes control it. */
     public DrainSchedule(Lifecycle lifecycle, EventLoop loop) {
         this.loop = loop;
         lifecycle.addListener(this::onPhase);
     }
 
-    /** A process that stops as a lame duck refuses from the earlier of the two times. */
+    /** A process that stops while it is a lame duck rejects requests from the earlier of the two times. */
     private void onPhase(Phase phase) {
         switch (phase) {
-            case LAME_DUCK -> begin(LAME_DUCK_TAKING_MS);
-            case DRAINING, STOPPED -> begin(STOPPING_TAKING_MS);
+            case LAME_DUCK -> beginDraining(LAME_DUCK_ACCEPTING_MS);
+            case DRAINING, STOPPED -> beginDraining(STOPPING_ACCEPTING_MS);
             case STARTING, READY -> {
-                sendingAway = false;
-                refusingFromMs = NEVER;
+                draining = false;
+                rejectingFromMs = NEVER;
             }
         }
     }
 
-    private void begin(double takingMs) {
-        refusingFromMs = Math.min(refusingFromMs, loop.nowMs() + takingMs);
-        if (!sendingAway) drainCount++; // told one at a time, by the thread that moves the phase
-        sendingAway = true;
+    private void beginDraining(double acceptingMs) {
+        rejectingFromMs = Math.min(rejectingFromMs, loop.nowMs() + acceptingMs);
+        if (!draining) drainCount++; // called by one thread at a time, the one that changes the phase
+        draining = true;
     }
 
-    /** True while each answer ends its client's connection, unless more has come on that. */
+    /** True while each response closes its client's connection, unless further requests have arrived on it. */
     public boolean isDraining() {
-        return sendingAway;
+        return draining;
     }
 
-    /** The number of times that clients began to be sent away; a stop in the middle of a lame duck is none of its own. */
+    /** The number of times that draining began; a stop during a lame duck period does not count separately. */
     public int drainCount() {
         return drainCount;
     }
 
-    /** True once new requests are refused, whatever connection they come on. */
+    /** True once new requests are rejected on all connections. */
     public boolean isRejecting() {
-        return loop.nowMs() >= refusingFromMs;
+        return loop.nowMs() >= rejectingFromMs;
     }
 
-    /** True once requests that are not complete are not waited for. */
+    /** True once incomplete requests are rejected as well. */
     public boolean isRejectingIncomplete() {
-        return loop.nowMs() >= refusingFromMs + INCOMPLETE_MS;
+        return loop.nowMs() >= rejectingFromMs + INCOMPLETE_REQUEST_GRACE_MS;
     }
 }
--- a/src/main/java/maplerail/core/EngineDirectory.java
+++ b/src/main/java/maplerail/core/EngineDirectory.java
@@ -14,7 +14,7 @@
 import maplerail.routing.RoutingEvent.EndpointUpdate;
 import maplerail.routing.RoutingSettings.EngineKind;
 
-/** The engines that service discovery lists: what they do, and which of them take new work. */
+/** The engines in the endpoint list: their roles, and which of them accept new work. */
 final class EngineDirectory {
     private final List<EngineKind> kinds;
     private final Map<Long, EngineRole> roles = new HashMap<>();
@@ -46,7 +46,7 @@
         return ready.contains(engine);
     }
 
-    /** The ready engines, as a view. */
+    /** An unmodifiable live view of the ready engines. */
     Set<Long> readyEngines() {
         return Collections.unmodifiableSet(ready);
     }
@@ -59,7 +59,7 @@
         return roles.keySet().stream().filter(this::isReader).collect(Collectors.toSet());
     }
 
-    /** The number of engines that are listed. */
+    /** The number of engines in the endpoint list. */
     int size() {
         return roles.size();
     }
--- a/src/main/java/maplerail/core/EventLoop.java
+++ b/src/main/java/maplerail/core/EventLoop.java
@@ -1,21 +1,22 @@
 package maplerail.core;
 
-/** The one thread on which the broker runs: its clock and its timers. */
+/** The clock and the timers of the single thread on which the broker runs. */
 public interface EventLoop {
-    /** Milliseconds of Unix time, with fractions; never goes back. */
+    /** Unix time in milliseconds, with fractions; never decreases. */
     double nowMs();
 
     /**
-     * Runs a task at a time, not before it.
+     * Runs a task at a given time or later, never earlier.
      *
-     * <p>What the sockets had received when the task became due has been handled before the task runs, however late the loop
-     * is. So a task may give up, repeat or end what an answer would have ended, without looking for that answer itself.
+     * <p>Input that the sockets had received when the task became due is handled before the task runs, however late the
+     * loop is. So a task may abort, retry or time out an operation without checking for a response that has already
+     * arrived.
      */
     Timer schedule(double whenMs, Runnable task);
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
-        /** Cancels the task; does nothing once it has run. */
+        /** Cancels the task; has no effect once it has run. */
         void cancel();
     }
 }
--- a/src/main/java/maplerail/core/Lifecycle.java
+++ b/src/main/java/maplerail/core/Lifecycle.java
@@ -6,23 +6,23 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The phases of a gateway's process, from start to exit. Thread-safe; listeners are called by the thread that moves. */
+/** The phases of a gateway process, from start to exit. Thread-safe; listeners run on the caller's thread. */
 public final class Lifecycle {
     /** A phase of the process. */
     public enum Phase {
-        /** No endpoint list is known yet. */
+        /** Has no endpoint list yet. */
         STARTING,
-        /** Serves. */
+        /** Serves requests. */
         READY,
-        /** Sends its clients away and serves what comes all the same; unlike draining, this can be taken back. */
+        /** Asks its clients to disconnect but still serves their requests; unlike draining, this can be reverted. */
         LAME_DUCK,
-        /** Finishes what it has taken. */
+        /** Finishes the requests that it has accepted. */
         DRAINING,
-        /** Is done. */
+        /** Has finished; the process exits. */
         STOPPED
     }
 
-    private static final Map<Phase, Set<Phase>> LEGAL_MOVES = Map.of(
+    private static final Map<Phase, Set<Phase>> LEGAL_TRANSITIONS = Map.of(
             Phase.STARTING, Set.of(Phase.READY, Phase.LAME_DUCK, Phase.DRAINING, Phase.STOPPED),
             Phase.READY, Set.of(Phase.LAME_DUCK, Phase.DRAINING),
             Phase.LAME_DUCK, Set.of(Phase.STARTING, Phase.READY, Phase.DRAINING),
@@ -37,25 +37,25 @@
         return phase;
     }
 
-    /** Adds a listener, which is told of each later move. */
+    /** Adds a listener, which is notified of each later phase change. */
     public synchronized void addListener(Consumer<Phase> listener) {
         listeners.add(listener);
     }
 
     /**
-     * Moves to another phase.
+     * Changes to another phase.
      *
-     * @throws IllegalStateException if there is no such move, which is a defect of the caller
+     * @throws IllegalStateException if the transition is illegal, which is a bug in the caller
      */
     public void moveTo(Phase next) {
-        List<Consumer<Phase>> informed;
+        List<Consumer<Phase>> notified;
         synchronized (this) {
-            if (!LEGAL_MOVES.get(phase).contains(next)) {
-                throw new IllegalStateException("no way from " + phase + " to " + next);
+            if (!LEGAL_TRANSITIONS.get(phase).contains(next)) {
+                throw new IllegalStateException("illegal phase transition from " + phase + " to " + next);
             }
             phase = next;
-            informed = List.copyOf(listeners);
+            notified = List.copyOf(listeners);
         }
-        informed.forEach(listener -> listener.accept(next));
+        notified.forEach(listener -> listener.accept(next));
     }
 }
--- a/src/main/java/maplerail/core/LoopLagMonitor.java
+++ b/src/main/java/maplerail/core/LoopLagMonitor.java
@@ -3,8 +3,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Measures how far the event loop is behind, by how late timers run. A process that has just started can be given more
- * than it keeps up with; what it took on top would wait past its deadline, and states would be released too late.
+ * Measures the lag of the event loop by how late its timers run. A process that has just started can receive more
+ * requests than it can handle; the excess would wait past its deadlines, and states would be released too late.
  */
 final class LoopLagMonitor {
     private static final double PERIOD_MS = 20;
@@ -15,18 +15,18 @@
     private double lagMs;
     private double nextCheckMs;
 
-    /** Creates a monitor that, once started, runs for as long as {@code active}. */
+    /** Creates a monitor that, once started, runs as long as {@code active} returns true. */
     LoopLagMonitor(EventLoop loop, BooleanSupplier active) {
         this.loop = loop;
         this.active = active;
     }
 
-    /** Starts it if it is not running. */
+    /** Starts the monitor if it is not running. */
     void start() {
         if (!running) check(0);
     }
 
-    /** The lag in milliseconds; a check that is overdue counts, as arrivals may be handled before timers. */
+    /** The lag in milliseconds; includes the delay of an overdue check, as input may be handled before timers. */
     double lagMs() {
         return Math.max(lagMs, running ? loop.nowMs() - nextCheckMs : 0);
     }
--- a/src/main/java/maplerail/core/ReleaseControl.java
+++ b/src/main/java/maplerail/core/ReleaseControl.java
@@ -1,24 +1,27 @@
 package maplerail.core;
 
-/** Says of a release, whenever it would be sent again, whether that harms nothing, and is told what becomes of it. */
+/** Controls the calls of a release: decides when a call may be sent, and is notified of the responses. */
 public interface ReleaseControl {
-    /** True while a release would harm nothing; it undoes reads and takes away what is held, at whichever engine it arrives. */
+    /**
+     * True while a release is safe to send. A release cancels reads of the request and frees its state, whichever
+     * engine receives it.
+     */
     boolean maySend();
 
-    /** True for an engine that left an attempt of the request unanswered: others are asked before it. */
+    /** True for an engine that has not responded to an attempt of the request; other engines are preferred to it. */
     boolean isUnresponsive(long engine);
 
-    /** On which connection the first call is made. */
+    /** The connection on which the first call is sent. */
     default ConnectionChoice connection() {
         return ConnectionChoice.ANY;
     }
 
-    /** An engine has answered for the first time: what was held anywhere is released. */
+    /** The first engine has responded: the state has been released at all engines. */
     default void onReleased() {}
 
-    /** The holder itself has answered: it runs, and no read that it had ended before has left anything. */
+    /** The holder itself has responded: it is running, and no read that it had ended before has left a state. */
     default void onHolderResponded() {}
 
-    /** The release is over; {@code holderAnswered} if that is why. */
-    default void onEnded(boolean holderAnswered) {}
+    /** The release has finished; {@code holderResponded} if because the holder has responded. */
+    default void onEnded(boolean holderResponded) {}
 }
--- a/src/main/java/maplerail/core/RequestEventLog.java
+++ b/src/main/java/maplerail/core/RequestEventLog.java
@@ -8,19 +8,19 @@
 import maplerail.routing.AttemptOutcome;
 
 /**
- * Logs and counts what becomes of requests, attempts and reserved states. Each line is one event with the client's id of the
- * request, so that a case can be followed from its records here to those of clients and engines. What goes well is counted
- * only.
+ * Logs and counts the outcomes of requests, attempts and reserved states. Each line is one event with the client's
+ * request id, so that a request can be traced in the logs of the gateway, the clients and the engines. Successes are
+ * only counted.
  */
 final class RequestEventLog {
     private final EventLoop loop;
-    private final LineBudget lines;
+    private final LogRateLimiter limiter;
     private final Metrics metrics;
     private LongFunction<String> engineNames = Long::toHexString;
 
     RequestEventLog(EventLoop loop, Consumer<String> log, Metrics metrics) {
         this.loop = loop;
-        this.lines = new LineBudget(loop, log, metrics);
+        this.limiter = new LogRateLimiter(loop, log, metrics);
         this.metrics = metrics;
     }
 
@@ -29,11 +29,11 @@
         engineNames = names;
     }
 
-    /** An attempt ended, with what its transport knows of it. */
+    /** Records the end of an attempt, with the details that its transport reports. */
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, double elapsedMs) {
         metrics.count(countOf(outcome));
-        if (!isFailure(outcome) || !lines.admits()) return;
-        line(
+        if (!isFailure(outcome) || !limiter.tryAcquire()) return;
+        writeLine(
                 "attempt ended request=%s attempt=%d engine=%s role=%s outcome=%s elapsed_ms=%.0f streaming=%b aborted_for=%s %s",
                 attempt.record.request.id(),
                 attempt.number,
@@ -68,29 +68,29 @@
         };
     }
 
-    /** A writer has said that a read is not in flight whose answer was not heard. */
+    /** Records a read without a response of which a writer reports that it is not in flight. */
     void readLost() {
         metrics.count(EventCount.READS_LOST);
     }
 
-    /** A state has been reserved for as long as the settings allow and is released. */
+    /** Records that a state is released because it has been reserved for as long as the settings allow. */
     void reservationOverdue(RequestRecord record) {
         metrics.count(EventCount.RESERVATIONS_OVERDUE);
-        if (!lines.admits()) return;
-        line(
+        if (!limiter.tryAcquire()) return;
+        writeLine(
                 "reservation overdue request=%s held_ms=%.0f holders=%s in_flight=%d answered=%b streaming=%b",
                 record.request.id(),
                 loop.nowMs() - record.reservations.limitFromMs(),
                 record.reservations.holders().stream().map(engineNames::apply).toList(),
                 record.attempts.stream().filter(Attempt::isInFlight).count(),
-                record.answered,
+                record.finished,
                 record.isStreaming());
     }
 
-    /** A request got no answer from an engine: it was rejected or failed. */
+    /** Records a request that was rejected or failed without a response from an engine. */
     void requestEnded(RequestRecord record, String end, ResponseObserver.Reason reason) {
-        if (!lines.admits()) return;
-        line(
+        if (!limiter.tryAcquire()) return;
+        writeLine(
                 "request %s request=%s class=%s reason=%s attempts=%d left_ms=%.0f",
                 end,
                 record.request.id(),
@@ -100,7 +100,7 @@
                 record.deadlineMs - loop.nowMs());
     }
 
-    private void line(String format, Object... values) {
-        lines.write(String.format(Locale.ROOT, format, values));
+    private void writeLine(String format, Object... values) {
+        limiter.write(String.format(Locale.ROOT, format, values));
     }
 }
--- a/src/main/java/maplerail/core/RequestHandle.java
+++ b/src/main/java/maplerail/core/RequestHandle.java
@@ -1,8 +1,8 @@
 package maplerail.core;
 
-/** What a front holds while its request is open. Its calls do nothing once the request has its final answer. */
+/** A front's handle to an open request. Its methods have no effect once the request has its final response. */
 public interface RequestHandle {
-    /** A handle of a request that is not open. */
+    /** The handle of a request that is not open. */
     RequestHandle CLOSED = new RequestHandle() {
         @Override
         public void onClientDisconnected() {}
@@ -11,9 +11,9 @@
         public void onClientWritable() {}
     };
 
-    /** Reports that the client has disconnected or cancelled: the request ends without an answer. */
+    /** Reports that the client has disconnected or cancelled: the request ends without a response. */
     void onClientDisconnected();
 
-    /** Reports that the client can take more after {@link ResponseObserver#onEvent} asked for a pause. */
+    /** Reports that the client can receive data again after {@link ResponseObserver#onEvent} requested a pause. */
     void onClientWritable();
 }
--- a/src/main/java/maplerail/core/RequestIntake.java
+++ b/src/main/java/maplerail/core/RequestIntake.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** First stage: numbers each request and opens its record. */
+/** First stage: assigns a number to each request and opens its record. */
 final class RequestIntake {
     private final EventLoop loop;
     private final RequestRegistry registry;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Opens a record; empty if a request with the same id is open, as engines could not tell the two apart.
+     * Opens a record; empty if a request with the same id is open, as engines could not distinguish the two.
      *
-     * @param latestMs the latest deadline that a request may have now
+     * @param latestMs the upper limit of the request's deadline
      */
     Optional<RequestRecord> open(
             InferenceRequest request, ResponseObserver observer, RequestTerms terms, double latestMs) {
--- a/src/main/java/maplerail/core/RequestRecord.java
+++ b/src/main/java/maplerail/core/RequestRecord.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is known of an open request: its attempts, its answer, and what engines may hold for it. */
+/** The state of an open request: its attempts, its response, and the reservations that engines may have for it. */
 final class RequestRecord {
     final long number;
     final InferenceRequest request;
@@ -11,17 +11,17 @@
     final double deadlineMs;
     final RequestTerms terms;
     final List<Attempt> attempts = new ArrayList<>();
-    /** What engines hold for it; {@link ReservationKeeper} decides what becomes of that. */
+    /** The reservations at engines; managed by {@link ReservationManager}. */
     final RequestReservations reservations = new RequestReservations();
-    /** Reads that wait until what earlier ones may have left has been released. */
+    /** Reads that wait until the states that earlier reads may have left are released. */
     final List<Runnable> waitingReads = new ArrayList<>();
-    /** For the next deadline of what is held. */
+    /** The timer of the next reservation deadline. */
     EventLoop.Timer reservationTimer = () -> {};
 
     boolean admitted;
-    boolean answered;
+    boolean finished;
     double lastCancelMs = Double.NEGATIVE_INFINITY;
-    /** The attempt whose events the client gets; null before the first event. */
+    /** The attempt whose events are sent to the client; null before the first event. */
     Attempt winner;
 
     EventLoop.Timer deadlineTimer;
@@ -39,27 +39,27 @@
         return attempts.stream().anyMatch(Attempt::isInFlight);
     }
 
-    /** True if an engine has left an attempt unanswered. */
-    boolean hasUnansweredAt(long engine) {
-        return attempts.stream().anyMatch(attempt -> attempt.engine == engine && !attempt.answered);
+    /** True if an engine has not responded to an attempt. */
+    boolean hasAttemptWithoutResponseAt(long engine) {
+        return attempts.stream().anyMatch(attempt -> attempt.engine == engine && !attempt.engineResponded);
     }
 
-    /** True if an attempt was given up without a word of its engine: its connection may have been silent. */
-    boolean hasUnheardAttempt() {
-        return attempts.stream().anyMatch(Attempt::isUnheard);
+    /** True if an attempt was aborted without any response: its connection may be dead without an error. */
+    boolean hasAbortedWithoutResponse() {
+        return attempts.stream().anyMatch(Attempt::wasAbortedWithoutResponse);
     }
 
-    /** True if an attempt at an engine was given up so. */
-    boolean hasUnheardAttemptAt(long engine) {
-        return attempts.stream().anyMatch(attempt -> attempt.engine == engine && attempt.isUnheard());
+    /** True if an attempt at the given engine was aborted without any response. */
+    boolean hasAbortedWithoutResponseAt(long engine) {
+        return attempts.stream().anyMatch(attempt -> attempt.engine == engine && attempt.wasAbortedWithoutResponse());
     }
 
-    /** True once the answer streams and has not ended. */
+    /** True while the response streams to the client. */
     boolean isStreaming() {
-        return winner != null && !answered;
+        return winner != null && !finished;
     }
 
-    /** True if another attempt is in flight or may have been executed, and engines no longer drop a repeat of it. */
+    /** True if another attempt is in flight or may have been executed, and engines no longer drop duplicates of it. */
     boolean isKeyExpiredFor(Attempt attempt, double nowMs) {
         double keyTtlMs = terms.of(request).keyTtlMs();
         return attempts.stream()
--- a/src/main/java/maplerail/core/RequestRegistry.java
+++ b/src/main/java/maplerail/core/RequestRegistry.java
@@ -7,26 +7,26 @@
 import maplerail.metrics.Metrics;
 import maplerail.metrics.Metrics.Verdict;
 
-/** Last stage: the open requests. Sees to one final answer for each, and that nothing stays held for it anywhere. */
+/** Last stage: tracks open requests. Ensures one final response for each, and that no state stays reserved for it. */
 final class RequestRegistry {
     private final AdmissionStage admission;
-    private final ReservationKeeper reservations;
+    private final ReservationManager reservations;
     private final Metrics metrics;
     private final Map<Long, RequestRecord> records = new HashMap<>();
     private final Map<Long, Runnable> closeActions = new HashMap<>();
-    private int unanswered;
+    private int unfinished;
 
-    RequestRegistry(AdmissionStage admission, ReservationKeeper reservations, Metrics metrics) {
+    RequestRegistry(AdmissionStage admission, ReservationManager reservations, Metrics metrics) {
         this.admission = admission;
         this.reservations = reservations;
         this.metrics = metrics;
     }
 
-    /** Adds a record; {@code onClosed} is run when it is removed. */
+    /** Adds a record; {@code onClosed} runs when it is removed. */
     void open(RequestRecord record, Runnable onClosed) {
         records.put(record.number, record);
         closeActions.put(record.number, onClosed);
-        unanswered++;
+        unfinished++;
         metrics.taken();
     }
 
@@ -39,7 +39,7 @@
         return List.copyOf(records.values());
     }
 
-    /** The requests whose answers stream now, the oldest first. */
+    /** The requests whose responses are streaming, oldest first. */
     List<RequestRecord> streaming() {
         return records.values().stream()
                 .filter(RequestRecord::isStreaming)
@@ -47,8 +47,8 @@
                 .toList();
     }
 
-    int unanswered() {
-        return unanswered;
+    int unfinished() {
+        return unfinished;
     }
 
     int size() {
@@ -56,13 +56,13 @@
     }
 
     /**
-     * Marks a request as answered and counts the answer, here only and once. Returns true the first time: whoever gets true
-     * gives the final answer, or knows that nobody wants one.
+     * Marks a request as finished and counts its verdict; the only place where verdicts are counted. Returns true the
+     * first time only: the caller that gets true sends the final response, unless the client has disconnected.
      */
-    boolean answer(RequestRecord record, Verdict verdict) {
-        if (record.answered) return false;
-        record.answered = true;
-        unanswered--;
+    boolean finish(RequestRecord record, Verdict verdict) {
+        if (record.finished) return false;
+        record.finished = true;
+        unfinished--;
         metrics.ended();
         record.terms.of(record.request).tally().count(verdict);
         if (record.deadlineTimer != null) record.deadlineTimer.cancel();
@@ -70,11 +70,11 @@
         return true;
     }
 
-    /** To be called after each end of an attempt: releases what cancelled reads left, and closes what is done. */
-    void settle(RequestRecord record) {
+    /** To be called after each end of an attempt: releases unneeded states, and removes a finished record. */
+    void cleanUp(RequestRecord record) {
         reservations.review(record);
         if (record.hasAttemptInFlight()) return;
-        if (record.answered && records.remove(record.number) != null) {
+        if (record.finished && records.remove(record.number) != null) {
             closeActions.remove(record.number).run();
         }
     }
--- a/src/main/java/maplerail/core/RequestReservations.java
+++ b/src/main/java/maplerail/core/RequestReservations.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 import maplerail.core.Reservation.Phase;
 
-/** What engines hold, or may hold, for one request: at most one {@link Reservation} for each engine. Decides nothing. */
+/** The reservations that engines have, or may have, for one request: at most one for each engine. */
 final class RequestReservations {
     private final Map<Long, Reservation> byEngine = new LinkedHashMap<>();
     private double limitFromMs;
     private boolean overdue;
     private boolean expired;
 
-    /** Puts a reservation in the place of what was known of its engine. */
+    /** Adds a reservation, replacing an earlier one at the same engine. */
     void put(Reservation reservation) {
         byEngine.put(reservation.engine, reservation);
     }
 
-    /** Removes a reservation, unless another has taken its place. */
+    /** Removes a reservation, unless it has been replaced. */
     void remove(Reservation reservation) {
         byEngine.remove(reservation.engine, reservation);
     }
 
-    Reservation at(long engine) {
+    Reservation get(long engine) {
         return byEngine.get(engine);
     }
 
@@ -31,8 +31,8 @@
         return byEngine.isEmpty();
     }
 
-    /** Those in a phase, as a copy. */
-    List<Reservation> in(Phase phase) {
+    /** The reservations in a phase, as a copy. */
+    List<Reservation> inPhase(Phase phase) {
         List<Reservation> found = new ArrayList<>();
         for (Reservation reservation : byEngine.values()) {
             if (reservation.phase() == phase) found.add(reservation);
@@ -40,46 +40,46 @@
         return found;
     }
 
-    boolean has(Phase phase) {
-        return !in(phase).isEmpty();
+    boolean hasPhase(Phase phase) {
+        return !inPhase(phase).isEmpty();
     }
 
-    /** Those that no release was ordered of and that no read in flight is to make: HELD, then ABANDONED. */
+    /** The reservations that are neither being released nor in flight: RESERVED, then UNCERTAIN. */
     List<Reservation> unreleased() {
-        List<Reservation> found = in(Phase.HELD);
-        found.addAll(in(Phase.ABANDONED));
+        List<Reservation> found = inPhase(Phase.RESERVED);
+        found.addAll(inPhase(Phase.UNCERTAIN));
         return found;
     }
 
-    /** The engines that may hold a state now. */
+    /** The engines that may hold a state. */
     List<Long> holders() {
         return unreleased().stream().map(reservation -> reservation.engine).toList();
     }
 
-    /** When the limit on what is held began to run: at the last proof that an attempt had arrived and ended, or a release. */
+    /** The start of the reservation limit: the last proof that an attempt had arrived and ended, or a release. */
     double limitFromMs() {
         return limitFromMs;
     }
 
-    /** The limit runs anew, as an engine has answered. */
+    /** Restarts the limit after an engine has responded. */
     void restartLimit(double nowMs) {
         limitFromMs = nowMs;
         overdue = false;
     }
 
-    /** A release was sent though an attempt in flight may have taken the state: the next is due as long after it. */
+    /** A release was sent although a write in flight may use the state: the next one is due a full interval later. */
     void onReleasedInUse(double nowMs) {
         limitFromMs = nowMs;
     }
 
-    /** Notes that the limit has come; true the first time since it began to run. */
-    boolean noteOverdue() {
+    /** Marks the limit as reached; returns true the first time since it was restarted. */
+    boolean markOverdue() {
         boolean first = !overdue;
         overdue = true;
         return first;
     }
 
-    /** True if the state was released at its limit and no read has ended since: a write would find nothing. */
+    /** True if the state was released at its limit and no read has completed since: a write would find no state. */
     boolean isExpired() {
         return expired;
     }
--- a/src/main/java/maplerail/core/RequestTerms.java
+++ b/src/main/java/maplerail/core/RequestTerms.java
@@ -6,15 +6,16 @@
 import maplerail.routing.RoutingSettings;
 
 /**
- * The terms of a request: those of the settings in force when it was taken. It keeps them to its end, whatever the
- * settings become meanwhile.
+ * The settings that apply to a request: those in force when it was accepted. Later changes of the settings do not
+ * affect it.
  */
-record RequestTerms(int maxAttempts, double reservationLimitMs, boolean placesAhead, List<ClassTerms> classes) {
+record RequestTerms(
+        int maxAttempts, double reservationLimitMs, boolean placeReservationAllowed, List<ClassTerms> classes) {
 
     /**
-     * The terms of one class.
+     * The settings of one class.
      *
-     * @param keyTtlMs for how long after an attempt engines drop a repeat of it; infinite where that does not matter
+     * @param keyTtlMs how long after an attempt engines drop duplicates of it; infinite where that is irrelevant
      */
     record ClassTerms(String name, Metrics.Tally tally, double keyTtlMs) {}
 
--- a/src/main/java/maplerail/core/Reservation.java
+++ b/src/main/java/maplerail/core/Reservation.java
@@ -1,60 +1,60 @@
 package maplerail.core;
 
-/** What one engine holds, or may hold, for one request. The absence of a reservation says that it holds nothing. */
+/** The state that one engine holds, or may hold, for one request. Without a reservation, the engine holds none. */
 final class Reservation {
-    /** How much is known of it. */
+    /** The phase of a reservation, by what is known about the state. */
     enum Phase {
-        /** A read is in flight to the engine, which has said nothing of it yet: it may have ended there long ago. */
+        /** A read is in flight and the engine has not responded yet; the read may have ended there long ago. */
         READING,
-        /** The engine has said that the state waits there. */
-        HELD,
-        /** A read ended without a word of the engine: it may hold a state, or be reading still. */
-        ABANDONED,
-        /** A release has been ordered, and is repeated until no state can come any more. */
+        /** The engine has responded that the state is ready for a writer. */
+        RESERVED,
+        /** A read ended without a response: the engine may hold a state or may still be reading. */
+        UNCERTAIN,
+        /** A release was started, and is repeated until no state can appear any more. */
         RELEASING
     }
 
     final long engine;
     private Phase phase;
-    /** The read that is in flight; null in the other phases. */
+    /** The read that is in flight; set in phase READING only. */
     private Attempt read;
-    /** The engine may leave a state after it has answered a release: it may still be reading. */
-    private boolean mayReappear;
-    /** An engine has answered the release. */
+    /** The engine may leave a state after it has responded to a release, as it may still be reading. */
+    private boolean stateMayReappear;
+    /** An engine has responded to the release. */
     private boolean released;
-    /** When the holder first answered a release; from then on repeats are made. */
-    private double holderAnsweredMs = Double.NaN;
+    /** When the holder first responded to a release; repeats are scheduled from then on. */
+    private double holderRespondedMs = Double.NaN;
 
-    /** Repeats made so far. */
+    /** The number of repeats sent so far. */
     private int repeats;
 
-    /** A repeat is due, and is made once it harms nothing. */
-    private boolean repeatWaiting;
+    /** A repeat is due, and is sent as soon as that is safe. */
+    private boolean repeatDue;
 
-    private boolean over;
+    private boolean finished;
 
     private Reservation(long engine, Phase phase) {
         this.engine = engine;
         this.phase = phase;
     }
 
-    /** A read goes to the engine; {@code mayHoldOlder} if an earlier one may have left a state there. */
-    static Reservation reading(Attempt read, boolean mayHoldOlder) {
+    /** A read is sent to the engine; {@code mayHoldEarlierState} if an earlier read may have left a state there. */
+    static Reservation reading(Attempt read, boolean mayHoldEarlierState) {
         Reservation reservation = new Reservation(read.engine, Phase.READING);
         reservation.read = read;
-        reservation.mayReappear = mayHoldOlder;
+        reservation.stateMayReappear = mayHoldEarlierState;
         return reservation;
     }
 
-    /** The engine's answer has come: the state waits there. */
-    static Reservation held(long engine) {
-        return new Reservation(engine, Phase.HELD);
+    /** The engine has responded: the state is ready there. */
+    static Reservation reserved(long engine) {
+        return new Reservation(engine, Phase.RESERVED);
     }
 
-    /** A read ended without its engine's complete answer; {@code mayRun} if the engine has not said that it has ended. */
-    static Reservation abandoned(long engine, boolean mayRun) {
-        Reservation reservation = new Reservation(engine, Phase.ABANDONED);
-        reservation.mayReappear = mayRun;
+    /** A read ended without a complete response; {@code mayBeRunning} unless the engine has reported its end. */
+    static Reservation uncertain(long engine, boolean mayBeRunning) {
+        Reservation reservation = new Reservation(engine, Phase.UNCERTAIN);
+        reservation.stateMayReappear = mayBeRunning;
         return reservation;
     }
 
@@ -66,19 +66,19 @@
         return read;
     }
 
-    /** A writer has found no state, so nothing waits for this one; whether the engine has it still is not known. */
-    void loseState() {
-        if (phase == Phase.HELD) phase = Phase.ABANDONED;
+    /** A writer found no state, so the state is not needed any more; whether the engine still has it is unknown. */
+    void onStateLost() {
+        if (phase == Phase.RESERVED) phase = Phase.UNCERTAIN;
     }
 
-    /** A release is ordered; {@code mayBePassedOver} if the engine may see it before the end of an attempt. */
-    void release(boolean mayBePassedOver) {
+    /** A release is started; {@code mayPrecedeAttemptEnd} if the engine may receive it before the end of an attempt. */
+    void release(boolean mayPrecedeAttemptEnd) {
         phase = Phase.RELEASING;
-        mayReappear |= mayBePassedOver;
+        stateMayReappear |= mayPrecedeAttemptEnd;
     }
 
-    boolean mayReappear() {
-        return mayReappear;
+    boolean stateMayReappear() {
+        return stateMayReappear;
     }
 
     boolean isReleased() {
@@ -89,26 +89,26 @@
         released = true;
     }
 
-    /** No state can come any more, or nothing more is tried; true the first time. */
-    boolean end() {
-        boolean first = !over;
-        over = true;
+    /** No state can appear any more, or the release is not retried any more; returns true the first time. */
+    boolean finish() {
+        boolean first = !finished;
+        finished = true;
         return first;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
-    /** The holder has answered a release; true the first time. */
-    boolean onHolderAnswered(double nowMs) {
-        boolean first = Double.isNaN(holderAnsweredMs);
-        if (first) holderAnsweredMs = nowMs;
+    /** The holder has responded to a release; returns true the first time. */
+    boolean onHolderResponded(double nowMs) {
+        boolean first = Double.isNaN(holderRespondedMs);
+        if (first) holderRespondedMs = nowMs;
         return first;
     }
 
-    double holderAnsweredMs() {
-        return holderAnsweredMs;
+    double holderRespondedMs() {
+        return holderRespondedMs;
     }
 
     int repeats() {
@@ -117,14 +117,14 @@
 
     void onRepeated() {
         repeats++;
-        repeatWaiting = false;
+        repeatDue = false;
     }
 
-    boolean isRepeatWaiting() {
-        return repeatWaiting;
+    boolean isRepeatDue() {
+        return repeatDue;
     }
 
-    void awaitRepeat() {
-        repeatWaiting = true;
+    void markRepeatDue() {
+        repeatDue = true;
     }
 }
--- a/src/main/java/maplerail/core/ReservePlaceResult.java
+++ b/src/main/java/maplerail/core/ReservePlaceResult.java
@@ -1,17 +1,17 @@
 package maplerail.core;
 
-/** What came of asking a writer to hold a place for a request that is being read. */
+/** The result of asking a writer to reserve a place for the state of a request that is being read. */
 public enum ReservePlaceResult {
-    /** A read is in flight, and the writer holds a place. */
+    /** A read is in flight, and the writer has reserved a place. */
     RESERVED,
-    /** A read is in flight, and the writer holds no place. */
+    /** A read is in flight, and the writer has not reserved a place. */
     NOT_RESERVED,
-    /** No read is in flight: it never arrived, or has ended. The writer may hold a place all the same. */
+    /** No read is in flight: it never arrived, or has ended. The writer may have reserved a place nevertheless. */
     NO_READ_IN_FLIGHT,
-    /** The writer gave no answer that tells anything. */
+    /** The writer did not respond, or with neither of these results. */
     UNKNOWN;
 
-    /** True if a read of the request is in flight at a reader. */
+    /** True if the writer confirms that a read of the request is in flight at a reader. */
     boolean confirmsRead() {
         return this == RESERVED || this == NOT_RESERVED;
     }
--- a/src/main/java/maplerail/core/ResponseRelay.java
+++ b/src/main/java/maplerail/core/ResponseRelay.java
@@ -3,7 +3,7 @@
 import maplerail.metrics.Metrics.Verdict;
 import maplerail.routing.AttemptOutcome;
 
-/** Fifth stage: passes on the events of the one attempt that answers a request, as they come. */
+/** Fifth stage: forwards the events of the winning attempt to the client as they arrive. */
 final class ResponseRelay {
     private final RequestRegistry registry;
     private final EventLoop loop;
@@ -14,7 +14,7 @@
     }
 
     void onEvent(Attempt attempt, byte[] event) {
-        if (attempt.record.answered || attempt.record.observer.onEvent(event)) return;
+        if (attempt.record.finished || attempt.record.observer.onEvent(event)) return;
         attempt.paused = true;
         attempt.handle.pause();
     }
@@ -27,11 +27,11 @@
         winner.handle.resume();
     }
 
-    /** Only a stream that came to its end is complete; any other must not look so. */
+    /** Reports a stream as complete only if its attempt has completed, and as broken otherwise. */
     void onEnded(Attempt attempt, AttemptOutcome outcome) {
         RequestRecord record = attempt.record;
         boolean complete = outcome == AttemptOutcome.COMPLETED;
-        if (!registry.answer(record, complete ? Verdict.ANSWERED : Verdict.ERRORED)) return;
+        if (!registry.finish(record, complete ? Verdict.ANSWERED : Verdict.ERRORED)) return;
         if (complete) record.observer.onCompleted();
         else record.observer.onBroken();
     }
--- a/src/main/java/maplerail/core/RoutingStage.java
+++ b/src/main/java/maplerail/core/RoutingStage.java
@@ -8,12 +8,12 @@
 import maplerail.routing.RoutingEvent;
 import maplerail.routing.RoutingPolicy;
 
-/** Third stage: reports each event to the policy, in order, and has its actions carried out, one after the other. */
+/** Third stage: reports events to the policy in order, and executes the resulting actions one after the other. */
 final class RoutingStage {
     private final RoutingPolicy policy;
     private final EventLoop loop;
     private final RoutingAction.Handler actions;
-    private final Runnable onSettled;
+    private final Runnable onEventsHandled;
     private final Consumer<String> log;
     private final Deque<RoutingEvent> pending = new ArrayDeque<>();
     private boolean running;
@@ -21,19 +21,19 @@
     /**
      * Creates the stage.
      *
-     * @param actions carries the policy's actions out
-     * @param onSettled is run whenever all events have been handled
+     * @param actions executes the policy's actions
+     * @param onEventsHandled runs whenever all events have been handled
      */
     RoutingStage(
             RoutingPolicy policy,
             EventLoop loop,
             RoutingAction.Handler actions,
-            Runnable onSettled,
+            Runnable onEventsHandled,
             Consumer<String> log) {
         this.policy = policy;
         this.loop = loop;
         this.actions = actions;
-        this.onSettled = onSettled;
+        this.onEventsHandled = onEventsHandled;
         this.log = log;
     }
 
@@ -41,7 +41,7 @@
         return policy;
     }
 
-    /** Reports an event. One that is caused by an action waits until the actions before it are done. */
+    /** Reports an event. One that is caused by an action is queued until all actions of the current event have run. */
     void report(RoutingEvent event) {
         pending.add(event);
         if (running) return;
@@ -50,13 +50,13 @@
             for (RoutingEvent next = pending.poll(); next != null; next = pending.poll()) {
                 decide(next).forEach(action -> action.accept(actions));
             }
-            onSettled.run();
+            onEventsHandled.run();
         } finally {
             running = false;
         }
     }
 
-    /** A failure of the policy costs this event only: the request concerned is answered by its deadline timer. */
+    /** An exception in the policy loses this event only: the deadline timer then fails the request concerned. */
     private List<RoutingAction> decide(RoutingEvent event) {
         try {
             return policy.step(loop.nowMs(), List.of(event));
--- a/src/main/java/maplerail/core/UnsentAttempt.java
+++ b/src/main/java/maplerail/core/UnsentAttempt.java
@@ -1,6 +1,6 @@
 package maplerail.core;
 
-/** An attempt that was not handed to the transport yet. */
+/** The handle of an attempt that is not yet passed to the transport. */
 final class UnsentAttempt implements AttemptHandle {
     @Override
     public boolean isUnsent() {
--- a/src/main/java/maplerail/core/package-info.java
+++ b/src/main/java/maplerail/core/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The broker: takes requests from fronts, carries out what the routing policy decides, and gives each request exactly one
- * final answer.
+ * The broker: accepts requests from fronts, executes the decisions of the routing policy, and gives each request
+ * exactly one final response.
  *
- * <p>A request passes six stages: intake, admission, routing, dispatch, relay and registry. The package knows requests,
- * attempts and outcomes and no wire: fronts call {@link maplerail.core.Broker} and implement
- * {@link maplerail.core.ResponseObserver}, transports implement {@link maplerail.core.EngineTransport}. Everything runs on
- * one thread, that of the {@link maplerail.core.EventLoop}; nothing here blocks or takes a lock, {@link
- * maplerail.core.Lifecycle} excepted.
+ * <p>A request passes through six stages: intake, admission, routing, dispatch, relay and registry. The package handles
+ * requests, attempts and outcomes and no wire protocols: fronts call {@link maplerail.core.Broker} and implement
+ * {@link maplerail.core.ResponseObserver}, transports implement {@link maplerail.core.EngineTransport}. Everything runs
+ * on the thread of the {@link maplerail.core.EventLoop}; nothing here blocks or takes a lock, except {@link
+ * maplerail.core.Lifecycle}.
  */
 package maplerail.core;
--- a/src/test/java/maplerail/core/LifecycleTest.java
+++ b/src/test/java/maplerail/core/LifecycleTest.java
@@ -24,16 +24,16 @@
         "LAME_DUCK STOPPED,false",
         "DRAINING LAME_DUCK,false"
     })
-    void onlyLegalMovesAreMade(String moves, boolean legal) {
+    void onlyLegalTransitionsAreAllowed(String phases, boolean legal) {
         Lifecycle lifecycle = new Lifecycle();
-        Runnable all = () -> {
-            for (String to : moves.split(" ")) lifecycle.moveTo(Phase.valueOf(to));
+        Runnable transitions = () -> {
+            for (String to : phases.split(" ")) lifecycle.moveTo(Phase.valueOf(to));
         };
         if (legal) {
-            all.run();
-            assertThat(lifecycle.phase().name()).isEqualTo(moves.substring(moves.lastIndexOf(' ') + 1));
+            transitions.run();
+            assertThat(lifecycle.phase().name()).isEqualTo(phases.substring(phases.lastIndexOf(' ') + 1));
         } else {
-            assertThatThrownBy(all::run).isInstanceOf(IllegalStateException.class);
+            assertThatThrownBy(transitions::run).isInstanceOf(IllegalStateException.class);
         }
     }
 }
