--- a/src/main/java/maplerail/discovery/Backoff.java
+++ b/src/main/java/maplerail/discovery/Backoff.java
@@ -3,19 +3,20 @@
 import java.util.SplittableRandom;
 
 /**
- * When to retry a call that failed: truncated exponential backoff with jitter, so that gateways which start or lose
- * discovery together don't come back together. It has no clock and no socket; draws come from the gateway's seed.
+ * The delay before a failed call is retried: truncated exponential backoff with jitter, so that gateways which start or
+ * lose discovery at the same time do not retry at the same time. Uses no clock and no socket; random draws come from
+ * the gateway's seed.
  */
 public final class Backoff {
-    private static final double MIN_SHARE = 0.5; // of a bound, that a wait is at least
-    private static final double RETRY_AFTER_SPREAD = 0.5; // upwards, of what discovery asked for
+    private static final double MIN_DELAY_SHARE = 0.5; // minimum delay, as a share of its bound
+    private static final double RETRY_AFTER_SPREAD = 0.5; // share by which a requested delay may be exceeded
 
     private final SplittableRandom random;
     private final double firstMs;
     private final double maxMs;
     private double boundMs;
 
-    /** Creates one whose first wait is at most {@code firstMs}, each further one at most twice the last, up to a limit. */
+    /** Creates a backoff whose first delay is at most {@code firstMs}; the bound then doubles up to {@code maxMs}. */
     public Backoff(SplittableRandom random, double firstMs, double maxMs) {
         this.random = random;
         this.firstMs = firstMs;
@@ -24,23 +25,23 @@
     }
 
     /**
-     * The next wait, in milliseconds.
+     * Returns the next delay in milliseconds.
      *
-     * @param retryAfterMs what the other side asked for, believed up to the limit; 0 for nothing
+     * @param retryAfterMs the delay that the server requested, honoured up to {@code maxMs}; 0 for none
      */
-    public double next(double retryAfterMs) {
-        double waitMs = boundMs * (MIN_SHARE + (1 - MIN_SHARE) * random.nextDouble());
+    public double nextDelayMs(double retryAfterMs) {
+        double delayMs = boundMs * (MIN_DELAY_SHARE + (1 - MIN_DELAY_SHARE) * random.nextDouble());
         boundMs = Math.min(maxMs, 2 * boundMs);
-        double believedMs = Math.min(maxMs, Math.max(0, retryAfterMs));
-        return Math.max(waitMs, believedMs * (1 + RETRY_AFTER_SPREAD * random.nextDouble()));
+        double cappedRetryAfterMs = Math.min(maxMs, Math.max(0, retryAfterMs));
+        return Math.max(delayMs, cappedRetryAfterMs * (1 + RETRY_AFTER_SPREAD * random.nextDouble()));
     }
 
-    /** A wait of up to so long, for a first call that others may make at the same moment. */
-    public double spread(double withinMs) {
+    /** Returns a random delay up to a maximum, for a first call that other gateways may make at the same moment. */
+    public double randomDelayMs(double withinMs) {
         return withinMs * random.nextDouble();
     }
 
-    /** Begins anew: a call was answered. */
+    /** Resets the bound after a call was answered. */
     public void reset() {
         boundMs = firstMs;
     }
--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -17,17 +17,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One of Consul's blocking queries, made again for good. From a failure to the next answer it does not block, as a short poll
- * of {@link PollSchedule}: a change counts as heard 6 s after Consul could be reached.
+ * Repeats one of Consul's blocking queries indefinitely. After a failure, until the next response, the query does not
+ * block, like a short poll of {@link PollSchedule}: a change has to be received within 6 s after Consul becomes
+ * reachable.
  */
 final class BlockingQuery {
     private static final Logger LOG = LoggerFactory.getLogger(BlockingQuery.class);
     private static final long WAIT_S = 20;
     private static final long MS_PER_S = 1_000;
-    private static final long CONSUL_JITTER_PART = 16; // Consul adds up to a sixteenth to a wait
+    private static final long CONSUL_JITTER_DIVISOR = 16; // Consul adds up to 1/16 to a wait
     private static final double BLOCKING_TIMEOUT_MS =
-            WAIT_S * MS_PER_S + WAIT_S * MS_PER_S / CONSUL_JITTER_PART + MS_PER_S;
-    private static final double SHORT_TIMEOUT_MS = 4_000; // for an answer that needs no waiting
+            WAIT_S * MS_PER_S + WAIT_S * MS_PER_S / CONSUL_JITTER_DIVISOR + MS_PER_S;
+    private static final double SHORT_TIMEOUT_MS = 4_000; // for a response without waiting
     private static final double REPEAT_MS = 1_600; // a lost call must not use up the 6 s
     private static final double FIRST_RETRY_MS = 100;
     private static final double MAX_RETRY_MS = 1_200;
@@ -37,12 +38,12 @@
     private final Pool pool;
     private final XnioLoop loop;
     private final String path;
-    private final Consumer<Tree> onAnswer;
+    private final Consumer<Tree> onResult;
     private final Backoff backoff;
     private InetSocketAddress address;
     private long index;
-    private boolean shortPolling = true; // from a failure, and from the start, until the next answer
-    private int turn; // counts up with each call, and when the one in flight has been answered
+    private boolean shortPolling = true; // from the start or a failure until the next response
+    private int generation; // incremented for each call or scheduled call; identifies the latest one
 
     BlockingQuery(
             Pool pool,
@@ -50,16 +51,16 @@
             InetSocketAddress address,
             String path,
             SplittableRandom random,
-            Consumer<Tree> onAnswer) {
+            Consumer<Tree> onResult) {
         this.pool = pool;
         this.loop = loop;
         this.address = address;
         this.path = path;
-        this.onAnswer = onAnswer;
+        this.onResult = onResult;
         this.backoff = new Backoff(random, FIRST_RETRY_MS, MAX_RETRY_MS);
     }
 
-    /** Asks another agent from now on, from the beginning, as its indexes are its own. */
+    /** Queries another agent from now on, without an index at first, as each agent has its own indexes. */
     void redirect(InetSocketAddress newAddress) {
         address = newAddress;
         index = 0;
@@ -69,67 +70,68 @@
     }
 
     void poll() {
-        turn++;
-        int ownTurn = turn;
-        boolean blocks = !shortPolling && index > 0;
-        String target = path + (blocks ? "?index=" + index + "&wait=" + WAIT_S + "s" : "");
-        Response response = new Response(ownTurn);
+        generation++;
+        int callGeneration = generation;
+        boolean blocking = !shortPolling && index > 0;
+        String target = path + (blocking ? "?index=" + index + "&wait=" + WAIT_S + "s" : "");
+        Response response = new Response(callGeneration);
         Call call = pool.start(address, HttpRequests.create(address, Methods.GET, target), new byte[0], response);
-        double timeoutMs = blocks ? BLOCKING_TIMEOUT_MS : SHORT_TIMEOUT_MS;
+        double timeoutMs = blocking ? BLOCKING_TIMEOUT_MS : SHORT_TIMEOUT_MS;
         loop.schedule(loop.nowMs() + timeoutMs, () -> response.abortOnTimeout(call));
-        if (!blocks) loop.schedule(loop.nowMs() + REPEAT_MS, () -> pollInTurn(ownTurn));
+        if (!blocking) loop.schedule(loop.nowMs() + REPEAT_MS, () -> pollIfCurrent(callGeneration));
     }
 
     private void pollLater(double afterMs) {
-        turn++;
-        int ownTurn = turn;
-        loop.schedule(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
+        generation++;
+        int callGeneration = generation;
+        loop.schedule(loop.nowMs() + afterMs, () -> pollIfCurrent(callGeneration));
     }
 
-    private void pollInTurn(int ownTurn) {
-        if (ownTurn == turn) poll();
+    private void pollIfCurrent(int callGeneration) {
+        if (callGeneration == generation) poll();
     }
 
     /**
-     * The index to ask after next. One that goes backwards (a restored or new server) starts anew, as a wait for the old one
-     * might never end; one that is missing or not above 0 would make the query a busy loop.
+     * Returns the index for the next query. An index that goes backwards (a restored or new server) is reset to 0, as a
+     * query that waits for the old one might never return. An index that is missing or not positive gives 0, as it
+     * would turn the query into a busy loop.
      */
-    static long nextIndex(long last, String header) {
+    static long nextIndex(long current, String header) {
         long received = header != null && INDEX.matcher(header).matches() ? Long.parseLong(header) : 0;
-        return received < last ? 0 : received;
+        return received < current ? 0 : received;
     }
 
     private final class Response extends TextResponseHandler {
-        private final InetSocketAddress asked = address;
-        private final int ownTurn;
+        private final InetSocketAddress calledAddress = address;
+        private final int callGeneration;
 
-        Response(int ownTurn) {
-            this.ownTurn = ownTurn;
+        Response(int callGeneration) {
+            this.callGeneration = callGeneration;
         }
 
         @Override
         protected boolean handleResponse(int status, HeaderMap headers, String text) {
-            if (!asked.equals(address)) return true;
+            if (!calledAddress.equals(address)) return true;
             try {
-                if (status != OK) throw new ConfigException("status " + status);
+                if (status != OK) throw new ConfigException("unexpected status " + status);
                 Tree answer = Tree.any(path, text);
                 long received = nextIndex(index, headers.getFirst("X-Consul-Index"));
-                // The answer to an earlier call may come behind that to a later one, which stands.
-                if (ownTurn != turn && received <= index) return true;
+                // The response to an earlier call may arrive after that to a later call, which takes precedence.
+                if (callGeneration != generation && received <= index) return true;
                 handle(answer, received);
                 return true;
             } catch (ConfigException e) {
                 LOG.warn("consul query failed path={} error={}", path, e.getMessage());
-                if (ownTurn == turn) index = 0;
+                if (callGeneration == generation) index = 0;
                 return false;
             }
         }
 
-        private void handle(Tree answer, long received) {
-            // A wait that ended without a change repeats the index.
+        private void handle(Tree result, long received) {
+            // A query that timed out without a change returns the same index.
             boolean changed = received == 0 || received != index;
             index = received;
-            if (changed) onAnswer.accept(answer);
+            if (changed) onResult.accept(result);
             shortPolling = false;
             backoff.reset();
             if (index > 0) poll();
@@ -138,9 +140,9 @@
 
         @Override
         protected void onNoResponse() {
-            if (ownTurn != turn) return; // the other address has its own call in flight, or this one a later one
+            if (callGeneration != generation) return; // superseded by a later call, to this or another address
             shortPolling = true;
-            pollLater(backoff.next(0));
+            pollLater(backoff.nextDelayMs(0));
         }
     }
 }
--- a/src/main/java/maplerail/discovery/ConsulDiscovery.java
+++ b/src/main/java/maplerail/discovery/ConsulDiscovery.java
@@ -19,13 +19,16 @@
 import maplerail.routing.Endpoint;
 import maplerail.routing.EndpointState;
 
-/** Watches services in Consul: its catalogue says which there are, its health API which of their servers may be called. */
+/**
+ * Watches services in Consul: the catalogue lists the services, the health API their servers and whether they are
+ * healthy.
+ */
 public final class ConsulDiscovery {
     private static final Set<String> HEALTHY = Set.of("passing", "warning");
 
     private final Pool pool;
     private final XnioLoop loop;
-    private final Set<String> wantedServices;
+    private final Set<String> servicesToWatch;
     private final BiConsumer<String, EngineList> onList;
     private final SplittableRandom random;
     private final Set<String> watchedServices = new HashSet<>();
@@ -34,10 +37,10 @@
     private long version;
 
     /**
-     * Creates a watch that has not started.
+     * Creates a watch, which {@link #start} starts.
      *
      * @param services the names of the services to watch
-     * @param onList receives the complete list of a service each time that it changes
+     * @param onList receives the complete list of a service whenever it changes
      */
     public ConsulDiscovery(
             Pool pool,
@@ -49,45 +52,45 @@
         this.pool = pool;
         this.loop = loop;
         this.address = address;
-        this.wantedServices = Set.copyOf(services);
+        this.servicesToWatch = Set.copyOf(services);
         this.random = random;
         this.onList = onList;
     }
 
-    /** Watches the catalogue, and each wanted service from when it is first in there. */
+    /** Starts to watch the catalogue, and each requested service once it is in the catalogue. */
     public void start() {
         query("/v1/catalog/services", catalogue -> {
             for (String service : catalogue.keys()) {
-                if (wantedServices.contains(service) && watchedServices.add(service)) watch(service);
+                if (servicesToWatch.contains(service) && watchedServices.add(service)) watch(service);
             }
         });
     }
 
-    /** Asks another agent from now on; what is known stays known until it answers. */
+    /** Queries another agent from now on; the current lists stay in effect until it answers. */
     public void redirect(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) return;
         address = newAddress;
         queries.forEach(query -> query.redirect(newAddress));
     }
 
-    private void query(String path, Consumer<Tree> onAnswer) {
-        BlockingQuery query = new BlockingQuery(pool, loop, address, path, random.split(), onAnswer);
+    private void query(String path, Consumer<Tree> onResult) {
+        BlockingQuery query = new BlockingQuery(pool, loop, address, path, random.split(), onResult);
         queries.add(query);
         query.poll();
     }
 
     private void watch(String service) {
-        query("/v1/health/service/" + service, answer -> {
+        query("/v1/health/service/" + service, result -> {
             version++;
-            onList.accept(service, read(answer, version));
+            onList.accept(service, parse(result, version));
         });
     }
 
-    /** The servers in an answer of the health API; those without a valid address are left out. */
-    static EngineList read(Tree answer, long version) {
+    /** Parses the servers in a health API response; those without a valid address are skipped. */
+    static EngineList parse(Tree result, long version) {
         List<Endpoint> endpoints = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
-        for (Tree entry : answer.list()) {
+        for (Tree entry : result.list()) {
             Tree service = entry.at("Service");
             String host = service.at("Address").text("");
             if (host.isEmpty()) host = entry.at("Node").at("Address").text("");
@@ -97,13 +100,13 @@
             String node = entry.at("Node").at("Node").text("");
             long id = EngineIds.of(node + "/" + service.at("ID").text(host));
             addresses.put(id, server);
-            endpoints.add(new Endpoint(id, state(entry.at("Checks").list()), 0, 0, 0, 1, 0));
+            endpoints.add(new Endpoint(id, stateOf(entry.at("Checks").list()), 0, 0, 0, 1, 0));
         }
         return new EngineList(version, true, List.copyOf(endpoints), Map.copyOf(addresses));
     }
 
-    /** A server with a critical check, or one that is not known, gets nothing new. */
-    private static EndpointState state(List<Tree> checks) {
+    /** A server with a critical check, or with a check of unknown status, gets no new requests. */
+    private static EndpointState stateOf(List<Tree> checks) {
         boolean healthy = checks.stream()
                 .allMatch(check -> HEALTHY.contains(check.at("Status").text("")));
         return healthy ? EndpointState.READY : EndpointState.DRAINING;
--- a/src/main/java/maplerail/discovery/PlatformDiscovery.java
+++ b/src/main/java/maplerail/discovery/PlatformDiscovery.java
@@ -12,7 +12,7 @@
 import maplerail.config.EngineList;
 import maplerail.config.Names;
 import maplerail.config.Tree;
-import maplerail.discovery.PollSchedule.Answer;
+import maplerail.discovery.PollSchedule.ListStatus;
 import maplerail.discovery.PollSchedule.Poll;
 import maplerail.net.Call;
 import maplerail.net.HttpRequests;
@@ -23,13 +23,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Polls the platform's endpoint list: makes the calls that {@link PollSchedule} wants and passes on the lists that it
- * believes. Each call follows the last answer at once. The known version is kept over failures, so that changes are asked
- * for and not the complete list, which costs discovery a line an engine.
+ * Polls the platform's endpoint list: makes the calls that {@link PollSchedule} schedules and publishes the lists that
+ * it accepts. Each call follows the previous response immediately. The known version is kept across failures, so that
+ * only changes are requested and not the complete list, which costs discovery one line per engine.
  */
 public final class PlatformDiscovery {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformDiscovery.class);
-    private static final double MIN_INTERVAL_MS = 100; // of long polls that end at once without a change
+    private static final double MIN_INTERVAL_MS = 100; // between long polls that return immediately without a change
     private static final double MS_PER_S = 1_000;
     private static final int OK = 200;
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
@@ -45,15 +45,15 @@
     private PollSchedule schedule;
     private long newestVersion = -1; // received from any address
     private Optional<Call> latestCall = Optional.empty();
-    /** Counts up when the call in flight has been answered, or its address is asked no more. */
-    private int turn;
+    /** Incremented for each call or scheduled call; identifies the latest one. */
+    private int generation;
 
     /**
-     * Creates a poller that has not started.
+     * Creates a poller, which {@link #start} starts.
      *
      * @param agent whether the list is pushed to an agent on this machine
-     * @param onList receives each list, unchanged ones too
-     * @param onRejectedList is run for each answer that was no list, or not believed
+     * @param onList receives each list, including unchanged ones
+     * @param onRejectedList is run for each response that is not a valid list or is outdated
      */
     public PlatformDiscovery(
             Pool pool,
@@ -74,130 +74,132 @@
         this.onRejectedList = onRejectedList;
     }
 
-    /** Polls for good: for what is newer than a known list, or from the complete list on if none (null) is known. */
+    /** Starts polling for changes to a known list, or for the complete list first if none is known (null). */
     public void start(EngineList known) {
         if (known != null && !known.members().isEmpty()) newestVersion = known.version();
         schedule = new PollSchedule(agent, newestVersion, random);
         pollLater(schedule.firstDelayMs());
     }
 
-    /** Polls another address from now on. The call in flight at the old one is taken in when it is answered. */
+    /** Polls another address from now on. A response to the call in flight at the old address is still processed. */
     public void redirect(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) return;
         address = newAddress;
         pollLater(schedule.onRedirected());
     }
 
-    /** Takes in an answer that has arrived, before the event loop gets to it. */
+    /** Processes a response that has arrived but that the event loop has not yet dispatched. */
     public void refresh() {
         latestCall.ifPresent(Call::readAvailable);
     }
 
     private void poll() {
-        turn++;
-        int ownTurn = turn;
-        Poll poll = schedule.next();
+        generation++;
+        int callGeneration = generation;
+        Poll poll = schedule.nextPoll();
         LOG.debug("polling address={} target={}", address, poll.target());
-        new Response(ownTurn).request(poll);
-        double repeatMs = schedule.repeatMs();
-        if (repeatMs < poll.timeoutMs()) loop.schedule(loop.nowMs() + repeatMs, () -> pollInTurn(ownTurn));
+        new Response(callGeneration).send(poll);
+        double repeatAfterMs = schedule.repeatAfterMs();
+        if (repeatAfterMs < poll.timeoutMs())
+            loop.schedule(loop.nowMs() + repeatAfterMs, () -> pollIfCurrent(callGeneration));
     }
 
     private void pollLater(double afterMs) {
-        turn++;
-        int ownTurn = turn;
-        loop.schedule(loop.nowMs() + afterMs, () -> pollInTurn(ownTurn));
+        generation++;
+        int callGeneration = generation;
+        loop.schedule(loop.nowMs() + afterMs, () -> pollIfCurrent(callGeneration));
     }
 
-    private void pollInTurn(int ownTurn) {
-        if (ownTurn == turn) poll();
+    private void pollIfCurrent(int callGeneration) {
+        if (callGeneration == generation) poll();
     }
 
-    private void accept(EngineList list) {
+    private void publish(EngineList list) {
         newestVersion = list.version();
         onList.accept(list);
     }
 
-    /** Seconds, with or without decimals, as milliseconds; 0 if there are none, or none that can be read. */
+    /** Parses seconds, with or without decimals, and returns milliseconds; 0 if the header is missing or invalid. */
     private static double retryAfterMs(String header) {
         return header != null && SECONDS.matcher(header).matches() ? Double.parseDouble(header) * MS_PER_S : 0;
     }
 
     private final class Response extends TextResponseHandler {
-        private final InetSocketAddress asked = address;
+        private final InetSocketAddress calledAddress = address;
         private final double sentMs = loop.nowMs();
-        private final int ownTurn;
+        private final int callGeneration;
         private double retryMs = Double.NaN;
 
-        Response(int ownTurn) {
-            this.ownTurn = ownTurn;
+        Response(int callGeneration) {
+            this.callGeneration = callGeneration;
         }
 
-        void request(Poll poll) {
+        void send(Poll poll) {
             Call call =
                     pool.start(address, HttpRequests.create(address, Methods.GET, poll.target()), new byte[0], this);
             latestCall = Optional.of(call);
-            // The connection to an agent that was cut off would stay open and silent.
+            // A connection to an agent behind a network partition would stay open without a response.
             loop.schedule(loop.nowMs() + poll.timeoutMs(), () -> abortOnTimeout(call));
         }
 
         @Override
         protected boolean handleResponse(int status, HeaderMap headers, String text) {
             if (status != OK) {
-                // No capacity, or down: what is known stays true, and so does its version.
+                // Overloaded or down: the known list and its version stay in effect.
                 LOG.warn("discovery failed status={}", status);
                 double retryAfterMs = retryAfterMs(headers.getFirst(Headers.RETRY_AFTER));
-                if (ownTurn == turn) retryMs = schedule.onRejected(retryAfterMs);
+                if (callGeneration == generation) retryMs = schedule.onRejected(retryAfterMs);
                 return false;
             }
-            Optional<EngineList> list = read(text);
+            Optional<EngineList> list = parse(text);
             list.ifPresent(this::handle);
             return list.isPresent();
         }
 
-        private Optional<EngineList> read(String text) {
+        private Optional<EngineList> parse(String text) {
             try {
                 return Optional.of(EngineList.read(Tree.object("list", text), names));
             } catch (RuntimeException e) {
                 LOG.warn(
-                        "discovery answered no list: {}", e instanceof ConfigException ? e.getMessage() : e.toString());
+                        "discovery returned an unreadable list: {}",
+                        e instanceof ConfigException ? e.getMessage() : e.toString());
                 onRejectedList.run();
-                if (ownTurn == turn) retryMs = schedule.onUnreadable();
+                if (callGeneration == generation) retryMs = schedule.onUnreadable();
                 return Optional.empty();
             }
         }
 
         private void handle(EngineList list) {
             boolean newer = list.version() > newestVersion;
-            if (!asked.equals(address)) {
-                // The old agent is told no more than the new one, and what it says late may be overtaken.
-                if (newer) accept(list);
-            } else if (ownTurn == turn || newer) {
-                handleInTurn(list);
+            if (!calledAddress.equals(address)) {
+                // The old agent has no newer lists than the new one, and its late response may already be outdated.
+                if (newer) publish(list);
+            } else if (callGeneration == generation || newer) {
+                handleCurrent(list);
             }
-            // Else it answers an earlier short poll, and what has come since says all of it.
+            // Otherwise it answers an earlier short poll, and a later response already covers it.
         }
 
-        private void handleInTurn(EngineList list) {
+        private void handleCurrent(EngineList list) {
             boolean longPoll = !schedule.isShortPolling();
-            Answer answer = schedule.onList(list.version(), list.whole(), newestVersion, loop.nowMs());
-            if (answer == Answer.OUTDATED) {
+            ListStatus status = schedule.onList(list.version(), list.whole(), newestVersion, loop.nowMs());
+            if (status == ListStatus.OUTDATED) {
                 LOG.warn("discovery answered an outdated list version={} known={}", list.version(), newestVersion);
                 onRejectedList.run();
                 pollLater(schedule.onFailed());
                 return;
             }
-            boolean nothing = answer == Answer.UNCHANGED && list.members().isEmpty();
-            boolean atOnce = loop.nowMs() - sentMs < MIN_INTERVAL_MS;
-            if (nothing && longPoll && atOnce) pollLater(MIN_INTERVAL_MS);
+            boolean noChanges = status == ListStatus.UNCHANGED && list.members().isEmpty();
+            boolean immediate = loop.nowMs() - sentMs < MIN_INTERVAL_MS;
+            if (noChanges && longPoll && immediate) pollLater(MIN_INTERVAL_MS);
             else poll();
-            // An unchanged list is passed on too: any answer is what a process that has just started waits for.
-            accept(list);
+            // Unchanged lists are published too: a process that has just started waits for any response.
+            publish(list);
         }
 
         @Override
         protected void onNoResponse() {
-            if (ownTurn != turn) return; // the other address has its own call in flight, or this one a later one
+            if (callGeneration != generation) return; // superseded by a later call, to this or another address
             pollLater(Double.isNaN(retryMs) ? schedule.onFailed() : retryMs);
         }
     }
--- a/src/main/java/maplerail/fleet/DatagramFormat.java
+++ b/src/main/java/maplerail/fleet/DatagramFormat.java
@@ -1,68 +1,69 @@
 package maplerail.fleet;
 
 /**
- * What all datagrams between gateways have in common. They are big-endian: a header, then entries of a fixed size.
+ * The layout of all datagrams between gateways: a header followed by entries of a fixed size, all big-endian. All
+ * headers begin with the same fields:
  *
  * <pre>
  * offset size  field
  *   0     1    magic 0x6d ('m')
- *   1     1    version, which tells the kinds of datagrams apart
- *   2     2    sender's rank in the tier, as the settings number it
+ *   1     1    version, which identifies the kind of datagram
+ *   2     2    sender's rank in the tier, as configured
  *   4     4    sender's incarnation
  * </pre>
  *
  * @param version the version byte
- * @param headerBytes the size of the header, the common part included
+ * @param headerBytes the size of the header, including the common fields
  * @param entryBytes the size of an entry
  */
 record DatagramFormat(int version, int headerBytes, int entryBytes) {
-    /** The most bytes that a datagram may have; the platform's rules forbid longer ones ("Between gateways"). */
+    /** Maximum size of a datagram; the platform's rules forbid longer ones (section "Between gateways"). */
     static final int MAX_BYTES = 256;
 
     static final byte MAGIC = 0x6d;
 
-    /** The most entries that fit. */
+    /** Returns the maximum number of entries in a datagram. */
     int maxEntries() {
         return (MAX_BYTES - headerBytes) / entryBytes;
     }
 
-    /** Begins a datagram with so many entries; the reader of the common header has been filled in. */
-    Writer write(int rank, long incarnation, int entries) {
-        return new Writer(headerBytes + entryBytes * entries)
+    /** Starts a datagram with the given number of entries; the common header fields are already written. */
+    FieldWriter write(int rank, long incarnation, int entries) {
+        return new FieldWriter(headerBytes + entryBytes * entries)
                 .u8(MAGIC)
                 .u8(version)
                 .u16(rank)
                 .u32(incarnation);
     }
 
-    /** Checks a datagram's size, magic and version, and reads from the sender's rank on. */
-    Reader read(byte[] bytes, int length, int minEntries) throws MalformedDatagramException {
+    /** Validates a datagram's size, magic and version, and returns a reader positioned at the sender's rank. */
+    FieldReader read(byte[] bytes, int length, int minEntries) throws MalformedDatagramException {
         if (length > MAX_BYTES) throw new MalformedDatagramException(DropReason.TOO_LONG);
         if (length < headerBytes + entryBytes * minEntries) throw new MalformedDatagramException(DropReason.TOO_SHORT);
-        if (bytes[0] != MAGIC) throw new MalformedDatagramException(DropReason.MAGIC);
-        if (bytes[1] != version) throw new MalformedDatagramException(DropReason.VERSION);
+        if (bytes[0] != MAGIC) throw new MalformedDatagramException(DropReason.BAD_MAGIC);
+        if (bytes[1] != version) throw new MalformedDatagramException(DropReason.UNSUPPORTED_VERSION);
         if ((length - headerBytes) % entryBytes != 0) throw new MalformedDatagramException(DropReason.TRUNCATED);
-        return new Reader(bytes, length);
+        return new FieldReader(bytes, length);
     }
 
-    /** Writes fields one after the other. */
-    static final class Writer {
+    /** Writes fields sequentially. */
+    static final class FieldWriter {
         private final byte[] bytes;
         private int position;
 
-        private Writer(int size) {
+        private FieldWriter(int size) {
             bytes = new byte[size];
         }
 
-        Writer u8(long value) {
+        FieldWriter u8(long value) {
             return put(value, 1);
         }
 
-        Writer u16(long value) {
+        FieldWriter u16(long value) {
             return put(value, 2);
         }
 
-        Writer u32(long value) {
+        FieldWriter u32(long value) {
             return put(value, 4);
         }
 
@@ -70,21 +71,21 @@
             return bytes;
         }
 
-        private Writer put(long value, int size) {
+        private FieldWriter put(long value, int size) {
             for (int i = size - 1; i >= 0; i--) bytes[position++] = (byte) (value >>> 8 * i);
             return this;
         }
     }
 
-    /** Reads fields one after the other. */
-    static final class Reader {
-        private static final int AFTER_VERSION = 2;
+    /** Reads fields sequentially. */
+    static final class FieldReader {
+        private static final int RANK_OFFSET = 2;
 
         private final byte[] bytes;
         private final int length;
-        private int position = AFTER_VERSION;
+        private int position = RANK_OFFSET;
 
-        private Reader(byte[] bytes, int length) {
+        private FieldReader(byte[] bytes, int length) {
             this.bytes = bytes;
             this.length = length;
         }
--- a/src/main/java/maplerail/fleet/DropCounts.java
+++ b/src/main/java/maplerail/fleet/DropCounts.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** The datagrams that were dropped, by reason. */
+/** Counts dropped datagrams by reason. */
 final class DropCounts {
     private final Map<DropReason, Long> counts = new EnumMap<>(DropReason.class);
 
@@ -11,7 +11,7 @@
         counts.merge(reason, 1L, Long::sum);
     }
 
-    /** The counts above 0. */
+    /** Returns the counts above 0. */
     Map<DropReason, Long> byReason() {
         return Map.copyOf(counts);
     }
--- a/src/main/java/maplerail/fleet/DropReason.java
+++ b/src/main/java/maplerail/fleet/DropReason.java
@@ -2,28 +2,28 @@
 
 /** Why a datagram from another gateway was dropped. */
 public enum DropReason {
-    /** It has more bytes than the platform allows. */
+    /** Larger than the platform allows. */
     TOO_LONG,
-    /** It has fewer bytes than its header. */
+    /** Shorter than its header and required entries. */
     TOO_SHORT,
-    /** It does not begin with the magic number. */
-    MAGIC,
-    /** It is of another kind, or of a version that is not known. */
-    VERSION,
-    /** Its last entry is not complete. */
+    /** Does not begin with the magic number. */
+    BAD_MAGIC,
+    /** Of another kind, or of an unsupported version. */
+    UNSUPPORTED_VERSION,
+    /** The last entry is incomplete. */
     TRUNCATED,
-    /** It has no entries. */
+    /** Contains no entries. */
     EMPTY,
-    /** A field has a value that is not allowed. */
+    /** A field has an invalid value. */
     INVALID_VALUE,
-    /** Its address is of no gateway of the tier. */
+    /** The source address belongs to no gateway of the tier. */
     UNKNOWN_SENDER,
-    /** It names another gateway than the one whose address it came from. */
+    /** The sender's rank does not match the source address. */
     SPOOFED,
-    /** It came from this gateway itself. */
-    OWN,
-    /** It is not newer than the last one from its sender. */
+    /** Sent by this gateway itself. */
+    SENT_BY_SELF,
+    /** Not newer than the latest datagram from its sender. */
     STALE,
-    /** Its sender sends too many. */
+    /** The sender exceeds its rate limit. */
     FLOOD
 }
--- a/src/main/java/maplerail/fleet/FailureReports.java
+++ b/src/main/java/maplerail/fleet/FailureReports.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What all gateways reported of one engine within a window of time. */
+/** The outcomes that all gateways reported for one engine within a sliding time window. */
 final class FailureReports {
     private static final int MAX_REPORTS = 4_096;
 
@@ -14,7 +14,7 @@
 
     private record Report(int reporter, double atMs, int failures, int successes) {}
 
-    /** Sums over the window. */
+    /** Totals over the window. */
     record Summary(int reporters, int failures, int successes) {}
 
     FailureReports(double windowMs) {
@@ -23,16 +23,19 @@
 
     void add(int reporter, double atMs, int failures, int successes) {
         reports.addLast(new Report(reporter, atMs, failures, successes));
-        while (isOld(reports.peekFirst(), atMs) || reports.size() > MAX_REPORTS) reports.pollFirst();
+        while (isExpired(reports.peekFirst(), atMs) || reports.size() > MAX_REPORTS) reports.pollFirst();
     }
 
     boolean isEmpty() {
         return reports.isEmpty();
     }
 
-    /** Forgets what is older than the window, and sums up the rest; only those that report failures are reporters. */
+    /**
+     * Removes reports older than the window and totals the rest; only gateways that reported failures count as
+     * reporters.
+     */
     Summary summarize(double nowMs) {
-        while (!reports.isEmpty() && isOld(reports.peekFirst(), nowMs)) reports.pollFirst();
+        while (!reports.isEmpty() && isExpired(reports.peekFirst(), nowMs)) reports.pollFirst();
         Set<Integer> reporters = new HashSet<>();
         int failures = 0;
         int successes = 0;
@@ -44,8 +47,8 @@
         return new Summary(reporters.size(), failures, successes);
     }
 
-    /** The successes that one gateway reported; 0 if it reported a failure as well. */
-    int flawlessSuccessesOf(int reporter) {
+    /** Returns the number of successes that a gateway reported, or 0 if it also reported a failure. */
+    int successesWithoutFailure(int reporter) {
         int successes = 0;
         for (Report report : reports) {
             if (report.reporter() != reporter) continue;
@@ -55,7 +58,7 @@
         return successes;
     }
 
-    private boolean isOld(Report report, double nowMs) {
+    private boolean isExpired(Report report, double nowMs) {
         return report.atMs() < nowMs - windowMs;
     }
 }
--- a/src/main/java/maplerail/fleet/MalformedDatagramException.java
+++ b/src/main/java/maplerail/fleet/MalformedDatagramException.java
@@ -1,6 +1,6 @@
 package maplerail.fleet;
 
-/** A datagram that can't be read; nothing of it is used. */
+/** Thrown when a datagram cannot be decoded; no part of it is used. */
 public final class MalformedDatagramException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
         this.reason = reason;
     }
 
-    /** What is wrong with it. */
+    /** Returns why the datagram could not be decoded. */
     public DropReason reason() {
         return reason;
     }
--- a/src/main/java/maplerail/fleet/Membership.java
+++ b/src/main/java/maplerail/fleet/Membership.java
@@ -15,62 +15,64 @@
 import maplerail.fleet.MembershipMessage.Update;
 
 /**
- * Which gateways of the tier are alive: a failure detector with gossip after SWIM (Das, Gupta, Motivala: "SWIM: Scalable
- * Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002), with two changes of Lifeguard (Dadgar,
- * Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018): a gateway that is late
- * itself probes more slowly (local health), and whoever is suspected is told first (buddy system).
+ * Tracks which gateways of the tier are alive: a failure detector with gossip after SWIM (Das, Gupta, Motivala: "SWIM:
+ * Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002), with two extensions from
+ * Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018):
+ * a gateway that is slow itself probes less often (local health), and a suspected gateway is notified first (buddy
+ * system).
  *
- * <p>Each period one gateway, chosen round robin from a shuffled list, is sent a ping; one that was heard within the period
- * needs none. Without an ack in time, a few others are asked to ping it; without any by the period's end it is suspect, and
- * dead once the suspicion has lasted unrefuted. A gateway that learns that it is suspected or dead takes a higher incarnation
- * and tells so. Changes ride on pings and acks; while there are any, a few more gateways a period are pinged. The cost of a
- * period is the same for each gateway whatever the size of the tier.
+ * <p>Each period one gateway, chosen round robin from a shuffled list, is sent a ping; a gateway from which a datagram
+ * was received within the period is skipped. Without an ack in time, a few other gateways are requested to ping it
+ * (ping-req); without any ack by the end of the period it becomes suspect, and dead if it does not refute the suspicion
+ * in time. A gateway that receives an update that it is suspect or dead switches to a higher incarnation and announces
+ * it. Updates are piggybacked on pings and acks; while there are any, a few more gateways are pinged per period. The
+ * cost of a period for each gateway does not depend on the size of the tier.
  */
 public final class Membership {
-    /** What is believed of a gateway; the order is part of the datagrams. */
+    /** The state of a gateway as seen from this one; the ordinals are part of the datagrams. */
     public enum State {
-        /** It runs. */
+        /** Running. */
         ALIVE,
-        /** It did not answer. */
+        /** Did not answer a probe. */
         SUSPECT,
-        /** It did not refute a suspicion in time. */
+        /** Did not refute a suspicion in time. */
         DEAD
     }
 
     /** A datagram to send to one gateway of the tier. */
     public record OutgoingDatagram(int recipient, byte[] bytes) {}
 
-    /** How often this gateway declared another dead, refuted what was said of itself, and began a suspicion. */
+    /** How often this gateway marked another dead, refuted an update about itself, and started a suspicion. */
     public record Totals(long deaths, long refutations, long suspicions) {}
 
-    /** The time between two probes of a gateway that is healthy itself. */
+    /** The time between two probes while this gateway's local health is good. */
     public static final double PERIOD_MS = 500;
 
-    /** The version byte of its datagrams. */
+    /** The version byte of this protocol's datagrams. */
     public static final int VERSION = MembershipMessage.FORMAT.version();
 
     private static final double DIRECT_ACK_SHARE = 0.4; // of a period; the rest is for indirect acks
-    private static final int INDIRECT_PROBES = 3; // SWIM's k
-    private static final double SUSPICION_PERIODS = 12; // times log10 of the tier, at least 1
+    private static final int INDIRECT_PROBES = 3; // k in SWIM
+    private static final double SUSPICION_PERIODS = 12; // times log10 of the tier size, but at least 1
     private static final int MAX_LOCAL_HEALTH = 8;
-    private static final int NEWS_FANOUT = 2; // gateways pinged in a period for the sake of news alone
-    private static final int DEAD_PROBE_PERIODS = 4; // between two pings to a dead gateway: a partition may have healed
-    private static final int SUSPECTS_PINGED = 3; // in a period, beside the probe
-    private static final int MAX_RELAYS = 2_048; // indirect probes that are not answered yet
-    private static final double MAX_DATAGRAMS_PER_MS = 0.04; // of one sender
+    private static final int UPDATE_FANOUT = 2; // gateways pinged per period only to send updates
+    private static final int DEAD_PROBE_PERIODS = 4; // interval of pings to dead gateways: a partition may have healed
+    private static final int MAX_SUSPECTS_PINGED = 3; // per period, in addition to the probe
+    private static final int MAX_RELAYS = 2_048; // requested pings that are not answered yet
+    private static final double MAX_DATAGRAMS_PER_MS = 0.04; // rate limit per sender
     private static final double DATAGRAM_BURST = 40;
-    private static final double STALL_PERIODS = 3; // a tick that is later means that this process was stopped
-    private static final double ALIVE_PERIODS = 2; // after a datagram, for which its sender is not declared dead
-    private static final int NOBODY = -1;
+    private static final double STALL_PERIODS = 3; // a tick later than this means that the process was paused
+    private static final double RECENT_DATAGRAM_PERIODS = 2; // after a datagram, in which its sender is not marked dead
+    private static final int NO_RANK = -1;
 
     private static final class Member {
         final int rank;
-        final TokenBucket datagrams = new TokenBucket(DATAGRAM_BURST, 0);
+        final TokenBucket rateLimit = new TokenBucket(DATAGRAM_BURST, 0);
         State state = State.ALIVE;
-        /** 0 if nothing was heard of it. */
+        /** 0 if unknown: nothing was received from or about the gateway. */
         long incarnation;
 
-        double lastHeardMs = Double.NEGATIVE_INFINITY;
+        double lastReceivedMs = Double.NEGATIVE_INFINITY;
         double suspectedMs;
 
         Member(int rank) {
@@ -78,16 +80,16 @@
         }
     }
 
-    /** An indirect probe that was asked for. */
+    /** A ping that another gateway requested (ping-req). */
     private record Relay(int origin, int sequence, int subject) {}
 
     private final int rank;
     private final Member[] members;
     private final SplittableRandom random;
-    private final MembershipNews news;
+    private final PendingUpdates pendingUpdates;
     private final List<Integer> probeOrder = new ArrayList<>();
     private final Map<Integer, Relay> relaysBySequence = new LinkedHashMap<>();
-    private final List<Integer> newsOnProbe = new ArrayList<>();
+    private final List<Integer> ranksUpdatedByProbe = new ArrayList<>();
     private final DropCounts dropped = new DropCounts();
     private long incarnation;
     private int sequence;
@@ -97,93 +99,95 @@
     private int periods;
     private double periodStartMs;
     private double nextTickMs;
-    private int probeTarget = NOBODY;
+    private int probeTarget = NO_RANK;
     private int probeSequence;
     private boolean probeAcked;
     private boolean indirectProbesSent;
-    private double lastHeardMs;
+    private double lastReceivedFromAnyMs;
     private long deaths;
     private long refutations;
     private long suspicions;
     private Traffic sent = Traffic.NONE;
 
     /**
-     * Creates the view of one gateway. All others are believed to be alive until something says otherwise.
+     * Creates the view of one gateway. All others are initially considered alive.
      *
-     * @param rank the gateway's place in the tier
+     * @param rank the gateway's rank in the tier
      * @param tierSize the number of gateways of the tier
-     * @param startedMs the start of the process in Unix time, its first incarnation; a restart has a higher one
-     * @param seed the source of all random draws
+     * @param startedMs the start of the process in Unix time, which is its first incarnation; a restart has a higher one
+     * @param seed the seed of all random draws
      */
     public Membership(int rank, int tierSize, double startedMs, long seed) {
         if (tierSize < 1 || rank < 0 || rank >= tierSize) {
-            throw new IllegalArgumentException("rank " + rank + " of " + tierSize);
+            throw new IllegalArgumentException("rank " + rank + " is out of range for tier size " + tierSize);
         }
         this.rank = rank;
         random = new SplittableRandom(seed);
-        incarnation = Math.max(1, SerialNumbers.incarnationOf(startedMs));
+        incarnation = Math.max(1, SerialNumbers.incarnationForStart(startedMs));
         members = new Member[tierSize];
         Arrays.setAll(members, Member::new);
-        news = new MembershipNews(tierSize);
-        news.add(rank); // for those that believe the process before this one to be dead
+        pendingUpdates = new PendingUpdates(tierSize);
+        pendingUpdates.add(rank); // other gateways may consider the previous process dead
         nextTickMs = startedMs + PERIOD_MS * random.nextDouble();
         periodStartMs = nextTickMs;
     }
 
-    /** When {@link #tick} is due next. */
+    /** Returns when {@link #tick} is due next. */
     public double nextTickMs() {
         return nextTickMs;
     }
 
-    /** What is believed of a gateway; this one is always alive. */
+    /** Returns the state of a gateway; this one is always alive. */
     public State state(int ofRank) {
         return members[ofRank].state;
     }
 
-    /** The number of gateways in a state. */
+    /** Returns the number of gateways in a state. */
     public int count(State state) {
-        return (int) in(state).count();
+        return (int) membersIn(state).count();
     }
 
-    /** The number of gateways that are alive, this one included; a suspect is not. */
+    /** Returns the number of alive gateways, including this one and excluding suspects. */
     public int aliveCount() {
         return count(State.ALIVE);
     }
 
     /**
-     * The number of gateways that share the load, as limits are to be divided by: those alive, but half of the tier at least.
-     * Otherwise each part of a tier that is partitioned would take the whole for itself.
+     * Returns the number of gateways that share the load, by which limits are divided: the alive ones, but at least
+     * half of the tier. Without that minimum, each part of a partitioned tier would use the whole limit.
      */
     public int loadSharingGateways() {
         return Math.max(aliveCount(), (members.length + 1) / 2);
     }
 
-    /** What has happened so far. */
+    /** Returns the event counts since the start. */
     public Totals totals() {
         return new Totals(deaths, refutations, suspicions);
     }
 
-    /** The datagrams that were sent. */
+    /** Returns the number and size of the datagrams sent. */
     public Traffic sent() {
         return sent;
     }
 
-    /** The datagrams that were dropped, by reason. */
+    /** Returns the number of dropped datagrams by reason. */
     public Map<DropReason, Long> dropped() {
         return dropped.byReason();
     }
 
-    private Stream<Member> in(State state) {
+    private Stream<Member> membersIn(State state) {
         return Arrays.stream(members).filter(member -> member.state == state);
     }
 
     // ---- Failure detector ----
 
-    /** Does what is due at a time that is not before {@link #nextTickMs}; returns the datagrams to send. */
+    /**
+     * Runs the next step of the failure detector, not before {@link #nextTickMs}, and returns the datagrams to send.
+     */
     public List<OutgoingDatagram> tick(double nowMs) {
         if (nowMs > nextTickMs + STALL_PERIODS * periodMs()) recoverFromStall(nowMs);
-        if (!indirectProbesSent && probeTarget != NOBODY) return probeIndirectly();
-        if (probeTarget != NOBODY) judgeProbe(nowMs);
+        if (!indirectProbesSent && probeTarget != NO_RANK) return probeIndirectly();
+        if (probeTarget != NO_RANK) evaluateProbe(nowMs);
         expireSuspicions(nowMs);
         return beginPeriod(nowMs);
     }
@@ -192,11 +196,14 @@
         return PERIOD_MS * (1 + localHealth);
     }
 
-    /** What was not heard while this process was stopped says nothing of the others. */
+    /**
+     * Discards the current probe and extends suspicions by the time that this process was paused: that no datagrams
+     * were received during the pause says nothing about the other gateways.
+     */
     private void recoverFromStall(double nowMs) {
-        double lostMs = nowMs - nextTickMs;
-        in(State.SUSPECT).forEach(member -> member.suspectedMs += lostMs);
-        probeTarget = NOBODY;
+        double stalledMs = nowMs - nextTickMs;
+        membersIn(State.SUSPECT).forEach(member -> member.suspectedMs += stalledMs);
+        probeTarget = NO_RANK;
         worsenLocalHealth();
     }
 
@@ -208,8 +215,8 @@
         List<OutgoingDatagram> outgoing = new ArrayList<>();
         indirectProbesSent = true;
         if (!isProbeAnswered()) {
-            for (int helper : pickAlive(INDIRECT_PROBES, probeTarget)) {
-                outgoing.add(message(helper, Kind.PING_REQ, probeSequence, probeTarget));
+            for (int intermediary : pickAlive(INDIRECT_PROBES, probeTarget)) {
+                outgoing.add(message(intermediary, Kind.PING_REQ, probeSequence, probeTarget));
             }
         }
         nextTickMs = periodStartMs + periodMs();
@@ -217,20 +224,21 @@
     }
 
     private boolean isProbeAnswered() {
-        return probeAcked || members[probeTarget].lastHeardMs >= periodStartMs;
+        return probeAcked || members[probeTarget].lastReceivedMs >= periodStartMs;
     }
 
-    private void judgeProbe(double nowMs) {
+    private void evaluateProbe(double nowMs) {
         Member member = members[probeTarget];
         if (isProbeAnswered()) {
             localHealth = Math.max(0, localHealth - 1);
             return;
         }
-        // Only who hears nobody at all is late itself: else a tier of which half died would slow down its search.
-        if (lastHeardMs < periodStartMs) worsenLocalHealth();
+        // Only a gateway that received no datagram at all counts as slow itself; otherwise the failure detectors would
+        // slow down when half of a tier dies.
+        if (lastReceivedFromAnyMs < periodStartMs) worsenLocalHealth();
         if (member.state == State.ALIVE) {
             suspicions++;
-            change(member, State.SUSPECT, member.incarnation, nowMs);
+            setState(member, State.SUSPECT, member.incarnation, nowMs);
         }
     }
 
@@ -239,7 +247,7 @@
         for (Member member : members) {
             if (member.state != State.SUSPECT || nowMs < member.suspectedMs + limitMs) continue;
             deaths++;
-            change(member, State.DEAD, member.incarnation, nowMs);
+            setState(member, State.DEAD, member.incarnation, nowMs);
         }
     }
 
@@ -250,23 +258,24 @@
         probeAcked = false;
         probeTarget = nextProbeTarget(nowMs);
         probeSequence = nextSequence();
-        if (probeTarget != NOBODY) outgoing.add(message(probeTarget, Kind.PING, probeSequence, probeTarget));
-        if (!news.isEmpty()) pickAlive(NEWS_FANOUT, probeTarget).forEach(other -> outgoing.add(ping(other)));
-        in(State.SUSPECT)
+        if (probeTarget != NO_RANK) outgoing.add(message(probeTarget, Kind.PING, probeSequence, probeTarget));
+        if (!pendingUpdates.isEmpty())
+            pickAlive(UPDATE_FANOUT, probeTarget).forEach(other -> outgoing.add(ping(other)));
+        membersIn(State.SUSPECT)
                 .filter(member -> member.rank != probeTarget)
-                .limit(SUSPECTS_PINGED)
+                .limit(MAX_SUSPECTS_PINGED)
                 .forEach(member -> outgoing.add(ping(member.rank)));
         periods++;
         if (periods % DEAD_PROBE_PERIODS == 0) probeDead(outgoing);
-        nextTickMs = nowMs + (probeTarget == NOBODY ? periodMs() : DIRECT_ACK_SHARE * periodMs());
+        nextTickMs = nowMs + (probeTarget == NO_RANK ? periodMs() : DIRECT_ACK_SHARE * periodMs());
         return outgoing;
     }
 
     private void probeDead(List<OutgoingDatagram> outgoing) {
-        List<Member> dead = in(State.DEAD).toList();
+        List<Member> dead = membersIn(State.DEAD).toList();
         if (dead.isEmpty()) return;
         int recipient = dead.get(random.nextInt(dead.size())).rank;
-        outgoing.add(message(recipient, Kind.PING, nextSequence(), NOBODY));
+        outgoing.add(message(recipient, Kind.PING, nextSequence(), NO_RANK));
     }
 
     private int nextSequence() {
@@ -274,15 +283,18 @@
         return sequence;
     }
 
-    /** The next gateway to probe, round robin over a list that is shuffled each time round; nobody if none needs it. */
+    /**
+     * Returns the next gateway to probe, round robin over a list that is shuffled for each round, or NO_RANK if none
+     * needs a probe.
+     */
     private int nextProbeTarget(double nowMs) {
         for (int i = 0; i < members.length; i++) {
             if (probeOrder.isEmpty()) shuffleProbeOrder();
-            if (probeOrder.isEmpty()) return NOBODY;
+            if (probeOrder.isEmpty()) return NO_RANK;
             Member member = members[probeOrder.remove(probeOrder.size() - 1)];
-            if (member.state != State.DEAD && member.lastHeardMs < nowMs - periodMs()) return member.rank;
+            if (member.state != State.DEAD && member.lastReceivedMs < nowMs - periodMs()) return member.rank;
         }
-        return NOBODY;
+        return NO_RANK;
     }
 
     private void shuffleProbeOrder() {
@@ -294,7 +306,7 @@
 
     private List<Integer> pickAlive(int limit, int except) {
         List<Integer> ranks = new ArrayList<>();
-        in(State.ALIVE).map(member -> member.rank).forEach(ranks::add);
+        membersIn(State.ALIVE).map(member -> member.rank).forEach(ranks::add);
         ranks.removeIf(other -> other == rank || other == except);
         Collections.shuffle(ranks, new Random(random.nextLong()));
         return ranks.subList(0, Math.min(limit, ranks.size()));
@@ -302,45 +314,49 @@
 
     // ---- Dissemination ----
 
-    private void change(Member member, State state, long knownIncarnation, double nowMs) {
+    private void setState(Member member, State state, long newIncarnation, double nowMs) {
         if (state == State.SUSPECT && member.state != State.SUSPECT) member.suspectedMs = nowMs;
-        // That a gateway which was believed to be alive unheard is alive indeed is not passed on: a tier that starts
-        // would tell nothing else.
-        boolean isNews = member.state != state || member.incarnation != 0;
+        // The first incarnation received from a gateway that was already considered alive is not disseminated: a
+        // starting tier would send no other updates.
+        boolean disseminate = member.state != state || member.incarnation != 0;
         member.state = state;
-        member.incarnation = knownIncarnation;
-        if (isNews) news.add(member.rank);
+        member.incarnation = newIncarnation;
+        if (disseminate) pendingUpdates.add(member.rank);
     }
 
     private OutgoingDatagram ping(int recipient) {
         return message(recipient, Kind.PING, nextSequence(), recipient);
     }
 
-    private OutgoingDatagram message(int recipient, Kind kind, int number, int subject) {
-        // What a probe carries counts as sent once it is answered, as its target may be dead.
-        boolean isProbe = kind == Kind.PING && number == probeSequence && subject == probeTarget;
+    private OutgoingDatagram message(int recipient, Kind kind, int messageSequence, int subject) {
+        // Updates on a probe count as sent only when the probe is acked, as its target may be dead.
+        boolean isProbe = kind == Kind.PING && messageSequence == probeSequence && subject == probeTarget;
         List<Update> updates = updatesFor(recipient);
-        if (isProbe) newsOnProbe.clear();
+        if (isProbe) ranksUpdatedByProbe.clear();
         for (Update update : updates) {
-            boolean aboutRecipient = update.rank() == recipient && members[recipient].state != State.ALIVE;
-            if (aboutRecipient) continue;
-            if (isProbe) newsOnProbe.add(update.rank());
-            else news.recordSent(update.rank());
+            boolean aboutRecipientNotAlive = update.rank() == recipient && members[recipient].state != State.ALIVE;
+            if (aboutRecipientNotAlive) continue;
+            if (isProbe) ranksUpdatedByProbe.add(update.rank());
+            else pendingUpdates.recordSent(update.rank());
         }
         int encodedSubject = subject & 0xffff;
-        byte[] bytes = new MembershipMessage(rank, incarnation, kind, number, encodedSubject, updates).encode();
+        byte[] bytes =
+                new MembershipMessage(rank, incarnation, kind, messageSequence, encodedSubject, updates).encode();
         sent = sent.plus(bytes);
         return new OutgoingDatagram(recipient, bytes);
     }
 
-    /** First of all what is believed of the recipient, where that is not good; then the news that were sent least often. */
+    /**
+     * Returns the recipient's own state first if it is not alive, so that it can refute it, then the least-sent
+     * updates.
+     */
     private List<Update> updatesFor(int recipient) {
         List<Update> updates = new ArrayList<>();
-        boolean warned = members[recipient].state != State.ALIVE;
-        if (warned) updates.add(updateOf(members[recipient]));
-        for (int subject : news.leastSentFirst()) {
+        boolean recipientNotAlive = members[recipient].state != State.ALIVE;
+        if (recipientNotAlive) updates.add(updateOf(members[recipient]));
+        for (int subject : pendingUpdates.leastSentFirst()) {
             if (updates.size() == MembershipMessage.FORMAT.maxEntries()) break;
-            if (subject != recipient || !warned) updates.add(updateOf(members[subject]));
+            if (subject != recipient || !recipientNotAlive) updates.add(updateOf(members[subject]));
         }
         return updates;
     }
@@ -349,22 +365,25 @@
         return new Update(member.rank, member.state, member.rank == rank ? incarnation : member.incarnation);
     }
 
-    // ---- Datagrams that arrive ----
+    // ---- Received datagrams ----
 
-    /** Notes that a datagram of another kind came from a gateway: it runs, under that incarnation. */
+    /**
+     * Records that a datagram of another kind was received from a gateway, which is therefore alive in that
+     * incarnation.
+     */
     public void recordDatagramFrom(int sender, long senderIncarnation, double nowMs) {
         if (sender < 0 || sender >= members.length || sender == rank) return;
         Member member = members[sender];
-        member.lastHeardMs = nowMs;
-        lastHeardMs = nowMs;
-        if (isNewer(senderIncarnation, member.incarnation)) change(member, State.ALIVE, senderIncarnation, nowMs);
+        member.lastReceivedMs = nowMs;
+        lastReceivedFromAnyMs = nowMs;
+        if (isNewer(senderIncarnation, member.incarnation)) setState(member, State.ALIVE, senderIncarnation, nowMs);
     }
 
     /**
-     * Takes in a datagram.
+     * Processes a received datagram.
      *
-     * @param sender the rank of the gateway from whose address it came; -1 for an address that is of none
-     * @return the datagrams to send in answer
+     * @param sender the rank of the gateway that has the source address; -1 if none has it
+     * @return the datagrams to send in response
      */
     public List<OutgoingDatagram> receive(int sender, byte[] bytes, int length, double nowMs) {
         if (sender < 0 || sender >= members.length) return drop(DropReason.UNKNOWN_SENDER);
@@ -375,10 +394,10 @@
             return drop(e.reason());
         }
         if (message.rank() != sender) return drop(DropReason.SPOOFED);
-        if (sender == rank) return drop(DropReason.OWN);
-        TokenBucket datagrams = members[sender].datagrams;
-        datagrams.refill(nowMs, MAX_DATAGRAMS_PER_MS, DATAGRAM_BURST);
-        if (!datagrams.consumeOrDrain()) return drop(DropReason.FLOOD);
+        if (sender == rank) return drop(DropReason.SENT_BY_SELF);
+        TokenBucket rateLimit = members[sender].rateLimit;
+        rateLimit.refill(nowMs, MAX_DATAGRAMS_PER_MS, DATAGRAM_BURST);
+        if (!rateLimit.consumeOrDrain()) return drop(DropReason.FLOOD);
         recordDatagramFrom(sender, message.incarnation(), nowMs);
         return handle(message, nowMs);
     }
@@ -391,7 +410,7 @@
     private List<OutgoingDatagram> handle(MembershipMessage message, double nowMs) {
         List<OutgoingDatagram> outgoing = new ArrayList<>();
         long refutationsBefore = refutations;
-        for (Update update : message.updates()) learn(update, nowMs);
+        for (Update update : message.updates()) applyUpdate(update, nowMs);
         if (refutations > refutationsBefore) {
             pickAlive(INDIRECT_PROBES, message.rank()).forEach(other -> outgoing.add(ping(other)));
         }
@@ -406,16 +425,16 @@
     private void relayPing(MembershipMessage message, List<OutgoingDatagram> outgoing) {
         int subject = message.subject();
         if (subject >= members.length || subject == rank) return;
-        int number = nextSequence();
-        relaysBySequence.put(number, new Relay(message.rank(), message.sequence(), subject));
-        if (relaysBySequence.size() > MAX_RELAYS) removeEldestRelay();
-        outgoing.add(message(subject, Kind.PING, number, subject));
+        int relaySequence = nextSequence();
+        relaysBySequence.put(relaySequence, new Relay(message.rank(), message.sequence(), subject));
+        if (relaysBySequence.size() > MAX_RELAYS) removeOldestRelay();
+        outgoing.add(message(subject, Kind.PING, relaySequence, subject));
     }
 
-    private void removeEldestRelay() {
-        Iterator<Integer> eldest = relaysBySequence.keySet().iterator();
-        eldest.next();
-        eldest.remove();
+    private void removeOldestRelay() {
+        Iterator<Integer> oldest = relaysBySequence.keySet().iterator();
+        oldest.next();
+        oldest.remove();
     }
 
     private void handleAck(MembershipMessage message, List<OutgoingDatagram> outgoing) {
@@ -427,54 +446,60 @@
         }
         if (message.sequence() != probeSequence || message.subject() != probeTarget || probeAcked) return;
         probeAcked = true;
-        if (message.rank() == probeTarget) newsOnProbe.forEach(news::recordSent);
+        if (message.rank() == probeTarget) ranksUpdatedByProbe.forEach(pendingUpdates::recordSent);
     }
 
-    /** SWIM's order of what overrides what; what is bad of this gateway itself is refuted. */
-    private void learn(Update update, double nowMs) {
+    /**
+     * Applies an update by SWIM's precedence rules; a suspicion or death report about this gateway itself is refuted.
+     */
+    private void applyUpdate(Update update, double nowMs) {
         if (update.rank() >= members.length) return;
         if (update.rank() == rank) {
-            learnOfItself(update, nowMs);
+            applyUpdateAboutSelf(update, nowMs);
             return;
         }
         Member member = members[update.rank()];
-        boolean newer = isNewer(update.incarnation(), member.incarnation);
-        boolean same = update.incarnation() == member.incarnation;
+        boolean newerIncarnation = isNewer(update.incarnation(), member.incarnation);
+        boolean sameIncarnation = update.incarnation() == member.incarnation;
         switch (update.state()) {
             case ALIVE -> {
-                if (newer) change(member, State.ALIVE, update.incarnation(), nowMs);
+                if (newerIncarnation) setState(member, State.ALIVE, update.incarnation(), nowMs);
             }
             case SUSPECT -> {
-                boolean suspected = newer || same && member.state == State.ALIVE;
-                if (suspected) change(member, State.SUSPECT, update.incarnation(), nowMs);
+                boolean becomesSuspect = newerIncarnation || sameIncarnation && member.state == State.ALIVE;
+                if (becomesSuspect) setState(member, State.SUSPECT, update.incarnation(), nowMs);
             }
             case DEAD -> {
-                if ((newer || same) && member.state != State.DEAD) learnOfDeath(member, update, nowMs);
+                if ((newerIncarnation || sameIncarnation) && member.state != State.DEAD)
+                    applyDeathReport(member, update, nowMs);
             }
         }
     }
 
-    private void learnOfItself(Update update, double nowMs) {
-        boolean bad = update.state() != State.ALIVE && !isNewer(incarnation, update.incarnation());
-        if (!bad && !isNewer(update.incarnation(), incarnation)) return;
+    private void applyUpdateAboutSelf(Update update, double nowMs) {
+        boolean mustRefute = update.state() != State.ALIVE && !isNewer(incarnation, update.incarnation());
+        if (!mustRefute && !isNewer(update.incarnation(), incarnation)) return;
         incarnation = Math.max(1, SerialNumbers.nextIncarnation(update.incarnation()));
-        if (bad) {
+        if (mustRefute) {
             refutations++;
             worsenLocalHealth();
         }
-        change(members[rank], State.ALIVE, incarnation, nowMs);
+        setState(members[rank], State.ALIVE, incarnation, nowMs);
     }
 
-    /** A gateway that was heard just now is only suspected: whoever says that it is dead may be cut off, or lie. */
-    private void learnOfDeath(Member member, Update update, double nowMs) {
-        boolean justHeard = nowMs - member.lastHeardMs < ALIVE_PERIODS * periodMs();
-        if (justHeard && member.state == State.SUSPECT) return;
-        change(member, justHeard ? State.SUSPECT : State.DEAD, update.incarnation(), nowMs);
-        if (!justHeard) deaths++;
+    /**
+     * Marks a gateway dead, or only suspect if a datagram was received from it recently: the gateway that reports its
+     * death may be partitioned from it or send false reports.
+     */
+    private void applyDeathReport(Member member, Update update, double nowMs) {
+        boolean receivedRecently = nowMs - member.lastReceivedMs < RECENT_DATAGRAM_PERIODS * periodMs();
+        if (receivedRecently && member.state == State.SUSPECT) return;
+        setState(member, receivedRecently ? State.SUSPECT : State.DEAD, update.incarnation(), nowMs);
+        if (!receivedRecently) deaths++;
     }
 
-    private static boolean isNewer(long incarnation, long than) {
+    private static boolean isNewer(long incarnation, long reference) {
         return incarnation != 0
-                && (than == 0 || SerialNumbers.isAfter(incarnation, than, SerialNumbers.INCARNATION_BITS));
+                && (reference == 0 || SerialNumbers.isAfter(incarnation, reference, SerialNumbers.INCARNATION_BITS));
     }
 }
--- a/src/main/java/maplerail/fleet/MembershipMessage.java
+++ b/src/main/java/maplerail/fleet/MembershipMessage.java
@@ -9,17 +9,17 @@
  *
  * <pre>
  * offset size  field
- *   0     8    as in {@link DatagramFormat}, version 2; the incarnation is never 0
+ *   0     8    common header ({@link DatagramFormat}), version 2; the incarnation is never 0
  *   8     1    kind: 1 ping, 2 ack, 3 ping-req
- *   9     2    sequence number: an ack has that of its ping, also where it was relayed
- *  11     2    subject's rank: whom a ping-req asks for, whose ack this is; a ping names its recipient
+ *   9     2    sequence number; an ack repeats that of the ping or ping-req it answers
+ *  11     2    subject's rank: the gateway to ping (ping-req), the gateway that acked (ack), the recipient (ping)
  *  13     7*n  updates: rank (2), state (1: 0 alive, 1 suspect, 2 dead), incarnation (4)
  * </pre>
  */
 record MembershipMessage(int rank, long incarnation, Kind kind, int sequence, int subject, List<Update> updates) {
     static final DatagramFormat FORMAT = new DatagramFormat(2, 13, 7);
 
-    /** The kinds of messages, in the order of their codes. */
+    /** The kinds of messages, in the order of their codes on the wire. */
     enum Kind {
         PING,
         ACK,
@@ -37,13 +37,13 @@
         }
     }
 
-    /** That a gateway is in a state under an incarnation. */
+    /** The state of a gateway in one of its incarnations. */
     record Update(int rank, State state, long incarnation) {}
 
-    /** The bytes; updates that do not fit are left out. */
+    /** Encodes the message; updates that do not fit are omitted. */
     byte[] encode() {
         int entries = Math.min(updates.size(), FORMAT.maxEntries());
-        DatagramFormat.Writer writer = FORMAT.write(rank, incarnation, entries)
+        DatagramFormat.FieldWriter writer = FORMAT.write(rank, incarnation, entries)
                 .u8(kind.code())
                 .u16(sequence)
                 .u16(subject);
@@ -54,7 +54,7 @@
     }
 
     static MembershipMessage decode(byte[] bytes, int length) throws MalformedDatagramException {
-        DatagramFormat.Reader reader = FORMAT.read(bytes, length, 0);
+        DatagramFormat.FieldReader reader = FORMAT.read(bytes, length, 0);
         int rank = reader.u16();
         long incarnation = reader.u32();
         Kind kind = Kind.ofCode(reader.u8());
--- a/src/main/java/maplerail/fleet/PeerSequences.java
+++ b/src/main/java/maplerail/fleet/PeerSequences.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The latest datagram received from each gateway of a tier, by incarnation and sequence number. */
+/** Tracks the latest datagram received from each gateway of a tier by incarnation and sequence number. */
 final class PeerSequences {
     private static final long NONE = -1;
 
@@ -15,8 +15,8 @@
         Arrays.fill(incarnations, NONE);
     }
 
-    /** Returns whether a datagram is newer than the latest of its sender, and remembers it if so. */
-    boolean advance(int rank, long incarnation, int sequence) {
+    /** Records a datagram if it is newer than the latest one of its sender, and returns whether it is. */
+    boolean recordIfNewer(int rank, long incarnation, int sequence) {
         if (!isNewer(rank, incarnation, sequence)) return false;
         incarnations[rank] = incarnation;
         sequences[rank] = sequence;
@@ -24,16 +24,16 @@
     }
 
     private boolean isNewer(int rank, long incarnation, int sequence) {
-        long known = incarnations[rank];
-        if (known == NONE) return true;
-        if (incarnation == known) {
+        long latest = incarnations[rank];
+        if (latest == NONE) return true;
+        if (incarnation == latest) {
             return SerialNumbers.isAfter(sequence, sequences[rank], SerialNumbers.SEQUENCE_BITS);
         }
-        return SerialNumbers.isAfter(incarnation, known, SerialNumbers.INCARNATION_BITS);
+        return SerialNumbers.isAfter(incarnation, latest, SerialNumbers.INCARNATION_BITS);
     }
 
-    /** The incarnation of the latest datagram; -1 for a gateway of which none was received. */
-    long incarnation(int rank) {
+    /** Returns the incarnation of a gateway's latest datagram, or -1 if none was received. */
+    long incarnationOf(int rank) {
         return incarnations[rank];
     }
 }
--- a/src/main/java/maplerail/fleet/SerialNumbers.java
+++ b/src/main/java/maplerail/fleet/SerialNumbers.java
@@ -1,6 +1,6 @@
 package maplerail.fleet;
 
-/** Serial number arithmetic (RFC 1982): an order in which numbers may wrap. */
+/** Serial number arithmetic (RFC 1982): compares numbers that wrap around. */
 final class SerialNumbers {
     static final int INCARNATION_BITS = 32;
     static final int SEQUENCE_BITS = 16;
@@ -9,15 +9,15 @@
 
     private SerialNumbers() {}
 
-    /** True if {@code a} comes after {@code b} among numbers of so many bits. */
+    /** Returns whether {@code a} is later than {@code b}, as serial numbers of the given width. */
     static boolean isAfter(long a, long b, int bits) {
         long half = 1L << bits - 1;
         long distance = a - b & (1L << bits) - 1;
         return distance != 0 && distance < half;
     }
 
-    /** The incarnation of a process: its start in milliseconds of Unix time, modulo 2 to the power of 32. */
-    static long incarnationOf(double startedMs) {
+    /** Returns the incarnation of a process: its start in milliseconds of Unix time, modulo 2^32. */
+    static long incarnationForStart(double startedMs) {
         return (long) startedMs & INCARNATION_MASK;
     }
 
--- a/src/main/java/maplerail/fleet/Traffic.java
+++ b/src/main/java/maplerail/fleet/Traffic.java
@@ -1,6 +1,6 @@
 package maplerail.fleet;
 
-/** Datagrams that were sent, and their bytes; each counts once, however many gateways receive it. */
+/** The number of datagrams sent and their total size; each counts once, however many gateways receive it. */
 public record Traffic(long datagrams, long bytes) {
     static final Traffic NONE = new Traffic(0, 0);
 
--- a/src/main/java/maplerail/fleet/package-info.java
+++ b/src/main/java/maplerail/fleet/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What gateways of a tier tell each other, and what they decide in common from it: how readers pace, which gateways are
- * alive, and which engines fail several of them.
+ * Protocols between the gateways of a tier, and the decisions based on them: how fast readers are, which gateways are
+ * alive, and which engines fail several gateways.
  *
- * <p>Nothing here does input or output or reads a clock: datagrams, times and random draws are arguments and results. All
- * times are milliseconds. Tables are bounded by the size of the tier and of the endpoint list. Instances are used by one
- * thread only. Every datagram that is received is either used completely, or dropped and counted by its reason.
+ * <p>This package does no I/O and reads no clock: datagrams, times and random draws are passed in and returned. All
+ * times are in milliseconds. Tables are bounded by the size of the tier and of the endpoint list. Instances are not
+ * thread-safe. Each received datagram is either applied completely, or dropped and counted by reason.
  */
 package maplerail.fleet;
--- a/src/main/java/maplerail/migration/HandoverFile.java
+++ b/src/main/java/maplerail/migration/HandoverFile.java
@@ -9,7 +9,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The file that carries a {@link HandoverSnapshot}: written beside its place, moved there in one step, and taken once. */
+/**
+ * The file that contains a {@link HandoverSnapshot}: written to a temporary file, renamed atomically, and read once.
+ */
 public final class HandoverFile {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
     private static final long MAX_BYTES = 4L << 20;
@@ -18,17 +20,17 @@
     private final Path temporary;
 
     /**
-     * Names the file.
+     * Sets the paths of the file and its temporary file.
      *
-     * @param folder the folder that both processes have
-     * @param process the id of this process
+     * @param folder the folder shared by both processes
+     * @param processId the id of this process
      */
-    public HandoverFile(Path folder, long process) {
+    public HandoverFile(Path folder, long processId) {
         file = folder.resolve("maplerail-handover.json");
-        temporary = folder.resolve("maplerail-handover-" + process + ".tmp");
+        temporary = folder.resolve("maplerail-handover-" + processId + ".tmp");
     }
 
-    /** Leaves a text for the next process; a failure is logged, as the text is only missed. */
+    /** Writes a text for the next process; a failure is only logged, as the handover is optional. */
     public void write(String text) {
         try {
             Files.writeString(temporary, text);
@@ -38,7 +40,10 @@
         }
     }
 
-    /** Takes the text that another process left, if there is one; of a file that is too large, an empty text. */
+    /**
+     * Reads and deletes the text that another process wrote, if any; for a file that is too large, returns an empty
+     * text.
+     */
     public Optional<String> readAndDelete() {
         try {
             if (!Files.isRegularFile(file)) return Optional.empty();
--- a/src/main/java/maplerail/migration/SocketDescriptors.java
+++ b/src/main/java/maplerail/migration/SocketDescriptors.java
@@ -11,33 +11,34 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * The descriptor of a channel, and a channel of a descriptor. The JDK's own classes do both for inherited channels and
- * show neither; the program's manifest opens their package ({@code Add-Opens: java.base/sun.nio.ch}). Where they are not
- * as expected an {@link IOException} says so, and nothing is handed on.
+ * Gets the file descriptor of a channel, and creates a channel for a descriptor. The JDK does both internally for
+ * inherited channels but has no public API for them; the program's manifest opens the package ({@code Add-Opens:
+ * java.base/sun.nio.ch}). If the JDK's classes are not as expected, an {@link IOException} is thrown and no stream is
+ * migrated.
  */
 final class SocketDescriptors {
     private SocketDescriptors() {}
 
-    static FileDescriptor of(SocketChannel channel) throws IOException {
+    static FileDescriptor descriptorOf(SocketChannel channel) throws IOException {
         try {
             var method = Class.forName("sun.nio.ch.SelChImpl").getMethod("getFD");
             method.setAccessible(true);
             return (FileDescriptor) method.invoke(channel);
         } catch (ReflectiveOperationException | RuntimeException e) {
-            throw new IOException("no descriptor of " + channel, e);
+            throw new IOException("cannot get the file descriptor of " + channel, e);
         }
     }
 
-    static SocketChannel channel(FileDescriptor descriptor, InetSocketAddress peer) throws IOException {
+    static SocketChannel channelOf(FileDescriptor descriptor, InetSocketAddress peer) throws IOException {
         try {
-            Constructor<?> made = Class.forName("sun.nio.ch.SocketChannelImpl")
+            Constructor<?> constructor = Class.forName("sun.nio.ch.SocketChannelImpl")
                     .getDeclaredConstructor(
                             SelectorProvider.class, ProtocolFamily.class, FileDescriptor.class, SocketAddress.class);
-            made.setAccessible(true);
+            constructor.setAccessible(true);
             return (SocketChannel)
-                    made.newInstance(SelectorProvider.provider(), StandardProtocolFamily.INET, descriptor, peer);
+                    constructor.newInstance(SelectorProvider.provider(), StandardProtocolFamily.INET, descriptor, peer);
         } catch (ReflectiveOperationException | RuntimeException e) {
-            throw new IOException("no channel of a descriptor that was handed over", e);
+            throw new IOException("cannot create a channel for a received file descriptor", e);
         }
     }
 }
--- a/src/main/java/maplerail/migration/package-info.java
+++ b/src/main/java/maplerail/migration/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What a process that stops gives to the one that serves on: what it knows of caches, as a file, and its running streams with
- * their sockets, over a Unix socket. Both only save work: whatever is missing, broken or too old is ignored.
+ * Handover from a process that is stopping to the one that replaces it: its view of engine caches, as a file, and its
+ * running streams with their sockets, over a Unix socket. Both are optimisations: missing, malformed or outdated data
+ * is ignored.
  *
- * <p>Calls here wait for the disk or for the other process, so they belong on a thread that may.
+ * <p>Calls block on the disk or on the other process, so they must not run on an event loop.
  */
 package maplerail.migration;
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -28,8 +28,8 @@
 class ConsulTest {
     @ParameterizedTest
     @CsvSource({"0,7,7", "7,7,7", "7,9,9", "9,7,0", "9,,0", "9,soon,0", "0,0,0", "5,-1,0"})
-    void theIndexStartsAnewWhenItGoesBackwards(long last, String told, long next) {
-        assertThat(BlockingQuery.nextIndex(last, told)).isEqualTo(next);
+    void indexThatGoesBackwardsIsReset(long current, String header, long expected) {
+        assertThat(BlockingQuery.nextIndex(current, header)).isEqualTo(expected);
     }
 
     @ParameterizedTest
@@ -38,31 +38,32 @@
         "passing,warning,READY",
         "passing,critical,DRAINING",
         "maintenance,passing,DRAINING",
-        "passing,unheard,DRAINING"
+        "passing,unknown,DRAINING"
     })
-    void aServerIsCalledWhileNoCheckIsCritical(String one, String two, EndpointState state) {
-        EngineList list = ConsulDiscovery.read(Tree.any("health", """
+    void serverIsReadyIfAllChecksPassOrWarn(String firstStatus, String secondStatus, EndpointState state) {
+        EngineList list = ConsulDiscovery.parse(Tree.any("health", """
                 [{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"r1","Address":"","Port":80},
                   "Checks":[{"Status":"%s"},{"Status":"%s"}]},
-                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(one, two)), 1);
+                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(firstStatus, secondStatus)), 1);
         assertThat(list.members()).hasSize(1);
         assertThat(list.members().get(0).state()).isEqualTo(state);
         assertThat(list.addresses().values().iterator().next().toString()).isEqualTo("/127.0.0.9:80");
     }
 
-    /** After a failure it is asked without waiting, and again though the first such question is lost on the way. */
+    /** After a failure the query is made without waiting, and repeated if the first such call gets no response. */
     @Test
-    void aQueryThatFailedIsAskedForWhatIsThereUntilItIsAnswered() throws Exception {
-        List<String> asked = new CopyOnWriteArrayList<>();
-        BlockingQueue<String> told = World.queue();
+    void failedQueryIsRepeatedWithoutWaitingUntilAnswered() throws Exception {
+        List<String> targets = new CopyOnWriteArrayList<>();
+        BlockingQueue<String> results = World.queue();
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        try (StandIn consul = new StandIn(x -> {
-            asked.add(x.target);
-            int call = asked.size();
-            if (call == 2) x.reply(500, "");
-            else if (call == 1 || call == 4) x.reply(200, "{\"call\":" + call + "}", "X-Consul-Index: " + (call + 4));
-            else x.awaitEnd();
+        try (StandIn consul = new StandIn(exchange -> {
+            targets.add(exchange.target);
+            int call = targets.size();
+            if (call == 2) exchange.reply(500, "");
+            else if (call == 1 || call == 4)
+                exchange.reply(200, "{\"call\":" + call + "}", "X-Consul-Index: " + (call + 4));
+            else exchange.awaitEnd();
         })) {
             Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 10).withoutSettleDelay();
             BlockingQuery query = new BlockingQuery(
@@ -71,12 +72,12 @@
                     consul.socketAddress(),
                     "/v1/x",
                     new SplittableRandom(1),
-                    answer -> told.add("" + answer.at("call").raw()));
+                    result -> results.add("" + result.at("call").raw()));
             loop.execute(query::poll);
-            assertThat(World.take(told)).isEqualTo("1");
-            assertThat(World.take(told)).isEqualTo("4");
-            World.await("watched anew", () -> asked.size() > 4);
-            assertThat(asked.subList(0, 5))
+            assertThat(World.take(results)).isEqualTo("1");
+            assertThat(World.take(results)).isEqualTo("4");
+            World.await("blocking query resumed", () -> targets.size() > 4);
+            assertThat(targets.subList(0, 5))
                     .containsExactly("/v1/x", "/v1/x?index=5&wait=20s", "/v1/x", "/v1/x", "/v1/x?index=8&wait=20s");
         } finally {
             loop.execute(loop::close);
@@ -84,7 +85,7 @@
         }
     }
 
-    private static EngineList platform(String dial, String health) {
+    private static EngineList platformList(String dial, String health) {
         Names names = new Names(
                 java.util.List.of("caerdydd"), java.util.List.of("prefill"), java.util.List.of(), java.util.List.of());
         return EngineList.read(Tree.object("list", """
@@ -93,23 +94,24 @@
     }
 
     @Test
-    void anEnginesIdDerivesFromItsHostAlone() {
-        EngineList here = platform("127.0.0.1:80", "in_service");
-        EngineList there = platform("127.0.0.2:81", "in_service");
-        assertThat(here.members()).isEqualTo(there.members());
-        assertThat(here.members().get(0).engine()).isEqualTo(EngineIds.of("s-5be2a07c"));
-        assertThat(here.members().get(0).zone()).isZero();
+    void engineIdDependsOnTheHostNameOnly() {
+        EngineList first = platformList("127.0.0.1:80", "in_service");
+        EngineList second = platformList("127.0.0.2:81", "in_service");
+        assertThat(first.members()).isEqualTo(second.members());
+        assertThat(first.members().get(0).engine()).isEqualTo(EngineIds.of("s-5be2a07c"));
+        assertThat(first.members().get(0).zone()).isZero();
     }
 
     @ParameterizedTest
-    @CsvSource({"in_service,READY", "terminating,DRAINING", "terminated,REMOVED", "on_holiday,DRAINING"})
-    void aHealthThatIsNotKnownGetsNothingNew(String health, EndpointState state) {
-        assertThat(platform("127.0.0.1:80", health).members().get(0).state()).isEqualTo(state);
+    @CsvSource({"in_service,READY", "terminating,DRAINING", "terminated,REMOVED", "unknown,DRAINING"})
+    void unknownHealthIsDraining(String health, EndpointState state) {
+        assertThat(platformList("127.0.0.1:80", health).members().get(0).state())
+                .isEqualTo(state);
     }
 
     @ParameterizedTest
     @CsvSource({"7f3a9c21e0b4d655,9167811660783867477", "ff,255", "'',0"})
-    void aKeyOfHexDigitsIsItsNumber(String text, long key) {
+    void keyOfHexDigitsIsParsedAsANumber(String text, long key) {
         assertThat(EngineIds.key(text)).isEqualTo(key);
         assertThat(EngineIds.key("chat/" + text)).isNotEqualTo(key);
     }
@@ -124,7 +126,7 @@
             {"a":true}                 | a | true
             {"a":{"b":null}}           | a | {"b":null}
             """)
-    void whatIsPassedOnStaysToTheLetter(String text, String field, String value) {
+    void fieldsKeepTheirOriginalText(String text, String field, String value) {
         assertThat(Json.fields(text)).containsEntry(field, value);
     }
 
@@ -133,7 +135,7 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {"{\"a\":1", "[1]", "{} {}", "7", "{\"a\":01}", "{a:1}"})
-    void whatIsNoSingleObjectHasNoFields(String text) {
+    void textThatIsNotASingleObjectHasNoFields(String text) {
         assertThat(Json.fields(text)).isNull();
     }
 }
--- a/src/test/java/maplerail/discovery/PlatformDiscoveryTest.java
+++ b/src/test/java/maplerail/discovery/PlatformDiscoveryTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PlatformDiscoveryTest {
-    /** A new agent that has yet to hear the news would list an engine that drains as ready once more. */
+    /** A new agent that does not have the latest changes yet would list a draining engine as ready again. */
     @Test
-    void aListOlderThanOursIsNotBelievedAfterAMove() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void olderListIsIgnoredAfterRedirect() throws Exception {
+        AtomicInteger calls = new AtomicInteger();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
@@ -28,174 +28,179 @@
                         .engine("w1", "decode", writer, "terminating")
                         .engine("w2", "decode", other);
                 StandIn agent = new StandIn(
-                        x -> x.reply(
+                        exchange -> exchange.reply(
                                 200,
-                                asked.incrementAndGet() > 3
+                                calls.incrementAndGet() > 3
                                         ? "{\"seq\":9,\"whole\":false,\"hosts\":[]}"
                                         : "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"w1\",\"dial\":\""
                                                 + writer.address()
                                                 + "\",\"site\":\"caerdydd\",\"class\":\"decode\",\"block\":1,\"health\":\"in_service\"}]}"));
-                World moved = new World().discoveredBy(agent)) {
+                World redirected = new World().discoveredBy(agent)) {
             world.start();
-            await("the first list heard", () -> world.discovery().count("GET /api/targets?index=") > 0);
-            world.gateway.reload(NodeConfig.read(moved.config("127.0.0.1:0"), Map.of()));
-            await("asked again", () -> asked.get() > 4);
+            await("first list received", () -> world.discovery().count("GET /api/targets?index=") > 0);
+            world.gateway.reload(NodeConfig.read(redirected.config("127.0.0.1:0"), Map.of()));
+            await("polled again", () -> calls.get() > 4);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
             assertThat(writer.count("POST")).isZero();
         }
     }
 
-    /** An overbooked discovery: asked anew at a fixed step, and for the whole list, a fleet would never let it rest. */
+    /**
+     * Gateways that poll an overloaded discovery at a fixed interval, and for the complete list, would keep it
+     * overloaded.
+     */
     @Test
-    void aDiscoveryWithoutRoomIsAskedMoreSeldomAndOnlyForChanges() throws Exception {
-        List<Long> asked = new CopyOnWriteArrayList<>();
+    void overloadedDiscoveryIsPolledLessOftenAndOnlyForChanges() throws Exception {
+        List<Long> callTimesNs = new CopyOnWriteArrayList<>();
         List<String> targets = new CopyOnWriteArrayList<>();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
-                StandIn full = new StandIn(x -> {
-                    asked.add(System.nanoTime());
-                    targets.add(x.target);
-                    x.reply(503, "");
+                StandIn overloaded = new StandIn(exchange -> {
+                    callTimesNs.add(System.nanoTime());
+                    targets.add(exchange.target);
+                    exchange.reply(503, "");
                 });
                 World world = new World()
                         .engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
-                        .discoveredBy(full)) {
+                        .discoveredBy(overloaded)) {
             world.start();
-            await("asked again", () -> asked.size() >= 5);
+            await("polled again", () -> callTimesNs.size() >= 5);
             assertThat(targets).allMatch(target -> target.contains("?index=3&wait="));
-            // The least that the fourth wait may last is eight times what the first one may.
-            assertThat((asked.get(4) - asked.get(3)) / 1e6).isGreaterThanOrEqualTo(700);
+            // The minimum of the fourth delay is eight times the minimum of the first.
+            assertThat((callTimesNs.get(4) - callTimesNs.get(3)) / 1e6).isGreaterThanOrEqualTo(700);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
         }
     }
 
-    /** Whatever an agent does at first, the known list is served from, and the first list that can be read counts. */
+    /** Whatever an agent responds at first, the known list stays in use, and the first valid list replaces it. */
     @ParameterizedTest
     @ValueSource(strings = {"{", "{\"seq\":9}", "nonsense", "cut", "500"})
-    void anAgentThatTalksNonsenseOrClosesIsAskedAgainAndTheLastGoodListKept(String first) throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void invalidResponseIsRetriedAndTheLastValidListIsKept(String firstResponse) throws Exception {
+        AtomicInteger calls = new AtomicInteger();
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
-                StandIn next = World.writer();
-                StandIn agent = new StandIn(x -> {
-                    boolean later = asked.incrementAndGet() > 2;
-                    if (later && x.target.contains("index=9&")) x.awaitEnd();
+                StandIn newWriter = World.writer();
+                StandIn agent = new StandIn(exchange -> {
+                    boolean later = calls.incrementAndGet() > 2;
+                    if (later && exchange.target.contains("index=9&")) exchange.awaitEnd();
                     else if (later) {
-                        x.reply(
+                        exchange.reply(
                                 200,
-                                "{\"seq\":9,\"whole\":true,\"hosts\":[" + host("r", "prefill", reader) + ","
-                                        + host("w2", "decode", next) + "]}");
-                    } else if (first.equals("cut")) {
-                        x.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,");
-                        x.reset();
-                    } else if (first.equals("500")) x.reply(500, "");
-                    else x.reply(200, first);
+                                "{\"seq\":9,\"whole\":true,\"hosts\":[" + hostEntry("r", "prefill", reader) + ","
+                                        + hostEntry("w2", "decode", newWriter) + "]}");
+                    } else if (firstResponse.equals("cut")) {
+                        exchange.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,");
+                        exchange.reset();
+                    } else if (firstResponse.equals("500")) exchange.reply(500, "");
+                    else exchange.reply(200, firstResponse);
                 });
                 World world = new World()
                         .engine("r", "prefill", reader)
                         .engine("w1", "decode", writer)
                         .discoveredBy(agent)) {
             world.start();
-            if (asked.get() <= 2)
+            if (calls.get() <= 2)
                 assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("the list that can be read", () -> agent.count("GET /api/targets?index=9&") > 0);
+            await("valid list received", () -> agent.count("GET /api/targets?index=9&") > 0);
             long before = writer.count("POST");
             assertThat(world.exchange(request("a2", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            assertThat(next.count("POST")).isEqualTo(1);
+            assertThat(newWriter.count("POST")).isEqualTo(1);
             assertThat(writer.count("POST")).isEqualTo(before);
         }
     }
 
-    private static String drained(StandIn reader, StandIn leaving, StandIn other) {
-        return "{\"seq\":9,\"whole\":true,\"hosts\":[" + host("r", "prefill", reader) + ","
-                + host("w1", "decode", leaving).replace("in_service", "terminating") + "," + host("w2", "decode", other)
+    private static String listWithDrainingWriter(StandIn reader, StandIn draining, StandIn other) {
+        return "{\"seq\":9,\"whole\":true,\"hosts\":[" + hostEntry("r", "prefill", reader) + ","
+                + hostEntry("w1", "decode", draining).replace("in_service", "terminating") + ","
+                + hostEntry("w2", "decode", other)
                 + "]}";
     }
 
-    /** What the agent has counts as told from a process's first moment: the list in its configuration may be old. */
+    /** A process must know the agent's list from its start, as the list in its configuration may be outdated. */
     @Test
-    void aNewProcessHearsTheAgentBeforeItServes() throws Exception {
+    void newProcessWaitsForTheAgentsListBeforeServing() throws Exception {
         try (StandIn reader = World.reader();
-                StandIn leaving = World.writer();
+                StandIn draining = World.writer();
                 StandIn other = World.writer();
-                StandIn agent = new StandIn(x -> {
-                    if (x.target.contains("index=9&wait=1&") || !x.target.contains("index=9")) {
+                StandIn agent = new StandIn(exchange -> {
+                    if (exchange.target.contains("index=9&wait=1&") || !exchange.target.contains("index=9")) {
                         Thread.sleep(150);
-                        x.reply(200, drained(reader, leaving, other));
-                    } else x.awaitEnd();
+                        exchange.reply(200, listWithDrainingWriter(reader, draining, other));
+                    } else exchange.awaitEnd();
                 });
                 World world = new World()
                         .engine("r", "prefill", reader)
-                        .engine("w1", "decode", leaving)
+                        .engine("w1", "decode", draining)
                         .discoveredBy(agent)) {
             world.start();
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            assertThat(leaving.count("POST")).isZero();
+            assertThat(draining.count("POST")).isZero();
             assertThat(other.count("POST")).isEqualTo(1);
         }
     }
 
     /**
-     * A watch falls silent, at once or after a part of its list, is reset, or its agent is silent to all for a while or asks for
-     * a long one: what it missed is asked for anew, soon.
+     * A long poll gets no response, gets part of a list, or is reset, or the agent answers nothing for a while or
+     * rejects a call with a long Retry-After: the changes that were missed must still be requested soon.
      */
     @ParameterizedTest
     @ValueSource(strings = {"silent", "part", "reset", "down", "refused"})
-    void aWatchThatIsLostIsOpenedAnew(String fault) throws Exception {
-        AtomicInteger lost = new AtomicInteger();
-        List<Long> asked = new CopyOnWriteArrayList<>();
+    void lostLongPollIsRepeated(String fault) throws Exception {
+        AtomicInteger failedCalls = new AtomicInteger();
+        List<Long> callTimesNs = new CopyOnWriteArrayList<>();
         try (StandIn reader = World.reader();
-                StandIn leaving = World.writer();
+                StandIn draining = World.writer();
                 StandIn other = World.writer();
-                StandIn agent = new StandIn(x -> {
-                    asked.add(System.nanoTime());
-                    if (x.target.contains("index=9")) x.awaitEnd();
-                    else if (asked.size() == 1) x.reply(200, "{\"seq\":3,\"whole\":false,\"hosts\":[]}");
-                    else if (lost.getAndIncrement() > (fault.equals("down") ? 12 : 0))
-                        x.reply(200, drained(reader, leaving, other));
-                    else if (fault.equals("reset")) x.reset();
+                StandIn agent = new StandIn(exchange -> {
+                    callTimesNs.add(System.nanoTime());
+                    if (exchange.target.contains("index=9")) exchange.awaitEnd();
+                    else if (callTimesNs.size() == 1) exchange.reply(200, "{\"seq\":3,\"whole\":false,\"hosts\":[]}");
+                    else if (failedCalls.getAndIncrement() > (fault.equals("down") ? 12 : 0))
+                        exchange.reply(200, listWithDrainingWriter(reader, draining, other));
+                    else if (fault.equals("reset")) exchange.reset();
                     else if (fault.equals("refused"))
-                        x.write("HTTP/1.1 503 X\r\nRetry-After: 600\r\nContent-Length: 0\r\n\r\n");
+                        exchange.write("HTTP/1.1 503 X\r\nRetry-After: 600\r\nContent-Length: 0\r\n\r\n");
                     else {
-                        if (fault.equals("part")) x.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,");
-                        x.awaitEnd();
+                        if (fault.equals("part"))
+                            exchange.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":9,");
+                        exchange.awaitEnd();
                     }
                 });
                 World world = new World()
                         .engine("r", "prefill", reader)
-                        .engine("w1", "decode", leaving)
+                        .engine("w1", "decode", draining)
                         .discoveredBy(agent)) {
             world.start();
-            await("heard", () -> agent.count("GET /api/targets?index=9&") > 0);
+            await("new list received", () -> agent.count("GET /api/targets?index=9&") > 0);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            assertThat(leaving.count("POST")).isZero();
+            assertThat(draining.count("POST")).isZero();
         }
     }
 
-    /** Discovery moves, and the new agent is silent at first; engines leave right after. */
+    /** After a redirect, the new agent does not respond at first, and an engine starts to drain right afterwards. */
     @Test
-    void anAgentThatIsSilentAfterAMoveIsLookedAtUntilItAnswers() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void silentAgentIsPolledAfterRedirectUntilItAnswers() throws Exception {
+        AtomicInteger calls = new AtomicInteger();
         try (StandIn reader = World.reader();
-                StandIn leaving = World.writer();
+                StandIn draining = World.writer();
                 StandIn other = World.writer();
-                StandIn agent = new StandIn(x -> {
-                    if (x.target.contains("index=9") || asked.incrementAndGet() < 12) x.awaitEnd();
-                    else x.reply(200, drained(reader, leaving, other));
+                StandIn agent = new StandIn(exchange -> {
+                    if (exchange.target.contains("index=9") || calls.incrementAndGet() < 12) exchange.awaitEnd();
+                    else exchange.reply(200, listWithDrainingWriter(reader, draining, other));
                 });
-                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", leaving);
-                World moved = new World().discoveredBy(agent)) {
+                World world = new World().engine("r", "prefill", reader).engine("w1", "decode", draining);
+                World redirected = new World().discoveredBy(agent)) {
             world.start();
-            world.gateway.reload(NodeConfig.read(moved.config("127.0.0.1:0"), Map.of()));
-            await("heard", () -> agent.count("GET /api/targets?index=9&") > 0);
+            world.gateway.reload(NodeConfig.read(redirected.config("127.0.0.1:0"), Map.of()));
+            await("new list received", () -> agent.count("GET /api/targets?index=9&") > 0);
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            assertThat(leaving.count("POST")).isZero();
+            assertThat(draining.count("POST")).isZero();
         }
     }
 
-    private static String host(String name, String kind, StandIn at) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + at.address() + "\",\"site\":\"caerdydd\",\"class\":\"" + kind
-                + "\",\"block\":1,\"health\":\"in_service\"}";
+    private static String hostEntry(String name, String kind, StandIn server) {
+        return "{\"host\":\"" + name + "\",\"dial\":\"" + server.address() + "\",\"site\":\"caerdydd\",\"class\":\""
+                + kind + "\",\"block\":1,\"health\":\"in_service\"}";
     }
 }
--- a/src/test/java/maplerail/discovery/PollScheduleTest.java
+++ b/src/test/java/maplerail/discovery/PollScheduleTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
-import maplerail.discovery.PollSchedule.Answer;
+import maplerail.discovery.PollSchedule.ListStatus;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -15,194 +15,212 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PollScheduleTest {
-    private static final double TOLD_MS = 6_000; // after which what a silent watch missed counts as told
+    private static final double CHANGE_DEADLINE_MS =
+            6_000; // in which a change missed by a long poll has to be received
 
-    private static PollSchedule asking(boolean agent) {
+    private static PollSchedule createSchedule(boolean agent) {
         return new PollSchedule(agent, 7, new SplittableRandom(1));
     }
 
-    /** Whenever a watch falls silent, there is time for several looks before what it misses counts as told. */
+    /** If a long poll gets no response, there is time for several retries before the deadline of a missed change. */
     @Test
-    void aSilentWatchLeavesTimeToAskAnew() {
-        PollSchedule asking = asking(true);
+    void unansweredLongPollLeavesTimeForRetries() {
+        PollSchedule schedule = createSchedule(true);
         for (int i = 0; i < 1_000; i++) {
-            asking.onList(8 + i, false, 7 + i, 0);
-            PollSchedule.Poll watch = asking.next();
-            assertThat(watch.waitMs()).isGreaterThan(1);
-            double givenUpMs = watch.timeoutMs() + asking.onFailed();
-            assertThat(givenUpMs).isLessThan(TOLD_MS / 2 + 1_000);
-            assertThat(givenUpMs).isLessThan(watch.waitMs() + 2_000);
-            assertThat(asking.next().waitMs()).as("asks for what is there").isLessThanOrEqualTo(1);
+            schedule.onList(8 + i, false, 7 + i, 0);
+            PollSchedule.Poll longPoll = schedule.nextPoll();
+            assertThat(longPoll.waitMs()).isGreaterThan(1);
+            double retryMs = longPoll.timeoutMs() + schedule.onFailed();
+            assertThat(retryMs).isLessThan(CHANGE_DEADLINE_MS / 2 + 1_000);
+            assertThat(retryMs).isLessThan(longPoll.waitMs() + 2_000);
+            assertThat(schedule.nextPoll().waitMs())
+                    .as("requests the list without waiting")
+                    .isLessThanOrEqualTo(1);
         }
     }
 
-    /** An agent that was silent and comes back answers what is asked then: there is a call at any moment until it does. */
+    /**
+     * An agent that recovers only answers calls that it receives afterwards, so calls are repeated without a gap until
+     * then.
+     */
     @Test
-    void anAgentIsLookedAtUntilItAnswers() {
-        PollSchedule asking = asking(true);
-        assertThat(asking.firstDelayMs()).isZero();
+    void agentIsPolledWithoutAGapUntilItAnswers() {
+        PollSchedule schedule = createSchedule(true);
+        assertThat(schedule.firstDelayMs()).isZero();
         for (int i = 0; i < 50; i++) {
-            assertThat(asking.repeatMs()).isLessThanOrEqualTo(100);
-            assertThat(asking.onFailed()).isLessThanOrEqualTo(100);
+            assertThat(schedule.repeatAfterMs()).isLessThanOrEqualTo(100);
+            assertThat(schedule.onFailed()).isLessThanOrEqualTo(100);
         }
-        asking.onList(8, false, 7, 0);
-        assertThat(asking.repeatMs()).isInfinite();
-        assertThat(asking.onFailed()).as("a watch that was reset").isZero();
+        schedule.onList(8, false, 7, 0);
+        assertThat(schedule.repeatAfterMs()).isInfinite();
+        assertThat(schedule.onFailed()).as("a long poll that was reset").isZero();
     }
 
-    /** Ever longer, up to a wait that leaves an answer its time, whatever the service asks for. */
+    /** The delay grows to a maximum that leaves time for a response, whatever Retry-After the service sends. */
     @Test
-    void aServiceForAllIsLeftAloneEverLongerAndNeverTooLong() {
-        PollSchedule asking = asking(false);
-        asking.onList(8, false, 7, 0);
-        assertThat(asking.next().waitMs()).isGreaterThanOrEqualTo(15_000);
-        assertThat(asking.next().timeoutMs()).isLessThanOrEqualTo(asking.next().waitMs() + 7_000);
-        assertThat(asking.repeatMs()).isInfinite();
-        double first = asking.onFailed();
+    void serviceRetryDelayGrowsUpToAMaximum() {
+        PollSchedule schedule = createSchedule(false);
+        schedule.onList(8, false, 7, 0);
+        assertThat(schedule.nextPoll().waitMs()).isGreaterThanOrEqualTo(15_000);
+        assertThat(schedule.nextPoll().timeoutMs())
+                .isLessThanOrEqualTo(schedule.nextPoll().waitMs() + 7_000);
+        assertThat(schedule.repeatAfterMs()).isInfinite();
+        double first = schedule.onFailed();
         double last = 0;
-        for (int i = 0; i < 8; i++) last = asking.onFailed();
+        for (int i = 0; i < 8; i++) last = schedule.onFailed();
         assertThat(first).isLessThanOrEqualTo(200);
         assertThat(last).isBetween(600.0, 1_200.0);
-        assertThat(asking.onRejected(9_000)).isBetween(1_200.0, TOLD_MS - 4_000);
+        assertThat(schedule.onRejected(9_000)).isBetween(1_200.0, CHANGE_DEADLINE_MS - 4_000);
     }
 
-    /** What discovery does with calls until it can be reached. */
+    /** What discovery does with calls until it is reachable. */
     enum Fault {
         SILENT,
         RESET,
-        REFUSES,
-        REFUSES_FOR_LONG,
+        REJECTS,
+        REJECTS_WITH_LONG_RETRY_AFTER,
         UNREADABLE,
-        OLDER
+        OUTDATED_LIST
     }
 
-    /** How the client comes into the fault: at its start, from a watch, or as its operators move it. */
-    enum From {
+    /**
+     * What the client is doing when the fault begins: starting, waiting in a long poll, or switching to another
+     * address.
+     */
+    enum InitialState {
         START,
-        START_WITH_NOTHING,
-        WATCH,
-        MOVE
+        START_WITHOUT_LIST,
+        LONG_POLL,
+        REDIRECTED
     }
 
     /**
-     * Plays the client as its transport does, from a fault to the first news, and tells how long after discovery could be
-     * reached that came; an answer takes {@code replyMs}. Calls made before meet the fault.
+     * Simulates the client and its transport from a fault to the first changed list, and returns how long after
+     * discovery became reachable that list was received. A response takes {@code responseMs}. Calls made before then
+     * meet the fault.
      */
-    private static double newsAfterMs(
-            boolean agent, Fault fault, From from, double faultMs, double replyMs, long seed) {
-        PollSchedule asking =
-                new PollSchedule(agent, from == From.START_WITH_NOTHING ? -1 : 7, new SplittableRandom(seed));
-        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::atMs));
-        int[] turn = {0};
-        double newsMs = Double.NaN;
-        double firstMs = asking.firstDelayMs();
-        if (from == From.WATCH) {
-            asking.onList(7, false, 7, 0);
-            firstMs = asking.onFailed();
+    private static double changeReceivedAfterMs(
+            boolean agent, Fault fault, InitialState initialState, double faultMs, double responseMs, long seed) {
+        PollSchedule schedule = new PollSchedule(
+                agent, initialState == InitialState.START_WITHOUT_LIST ? -1 : 7, new SplittableRandom(seed));
+        PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::atMs));
+        int[] generation = {0};
+        double receivedMs = Double.NaN;
+        double firstDelayMs = schedule.firstDelayMs();
+        if (initialState == InitialState.LONG_POLL) {
+            schedule.onList(7, false, 7, 0);
+            firstDelayMs = schedule.onFailed();
         }
-        if (from == From.MOVE) {
-            asking.onList(7, false, 7, 0);
-            firstMs = asking.onRedirected();
+        if (initialState == InitialState.REDIRECTED) {
+            schedule.onList(7, false, 7, 0);
+            firstDelayMs = schedule.onRedirected();
         }
-        due.add(new Due(firstMs, What.ASK, 0));
-        for (Due next = due.poll(); Double.isNaN(newsMs); next = due.poll()) {
-            double now = next.atMs();
-            boolean current = next.turn() == turn[0];
-            switch (next.what()) {
-                case ASK -> {
+        events.add(new ScheduledEvent(firstDelayMs, EventKind.POLL, 0));
+        for (ScheduledEvent event = events.poll(); Double.isNaN(receivedMs); event = events.poll()) {
+            double now = event.atMs();
+            boolean current = event.generation() == generation[0];
+            switch (event.kind()) {
+                case POLL -> {
                     if (!current) break;
-                    int mine = ++turn[0];
-                    PollSchedule.Poll query = asking.next();
-                    if (now >= faultMs) due.add(new Due(now + replyMs, What.NEWS, mine));
-                    else if (fault != Fault.SILENT) due.add(new Due(now + 5, What.FAULT, mine));
-                    due.add(new Due(now + query.timeoutMs(), What.EXPIRED, mine));
-                    double pressMs = asking.repeatMs();
-                    if (pressMs < query.timeoutMs()) due.add(new Due(now + pressMs, What.ASK, mine));
+                    int callGeneration = ++generation[0];
+                    PollSchedule.Poll poll = schedule.nextPoll();
+                    if (now >= faultMs)
+                        events.add(new ScheduledEvent(now + responseMs, EventKind.LIST, callGeneration));
+                    else if (fault != Fault.SILENT)
+                        events.add(new ScheduledEvent(now + 5, EventKind.FAULT, callGeneration));
+                    events.add(new ScheduledEvent(now + poll.timeoutMs(), EventKind.TIMEOUT, callGeneration));
+                    double repeatAfterMs = schedule.repeatAfterMs();
+                    if (repeatAfterMs < poll.timeoutMs())
+                        events.add(new ScheduledEvent(now + repeatAfterMs, EventKind.POLL, callGeneration));
                 }
-                case NEWS -> newsMs = asking.onList(8, true, 7, now) == Answer.CHANGED ? now : newsMs;
-                case FAULT, EXPIRED -> {
+                case LIST -> receivedMs = schedule.onList(8, true, 7, now) == ListStatus.CHANGED ? now : receivedMs;
+                case FAULT, TIMEOUT -> {
                     if (!current) break;
-                    double againMs = next.what() == What.EXPIRED
-                            ? asking.onFailed()
+                    double delayMs = event.kind() == EventKind.TIMEOUT
+                            ? schedule.onFailed()
                             : switch (fault) {
-                                case REFUSES -> asking.onRejected(0);
-                                case REFUSES_FOR_LONG -> asking.onRejected(60_000);
-                                case UNREADABLE -> asking.onUnreadable();
-                                case OLDER -> {
-                                    asking.onList(5, true, 7, now);
-                                    yield asking.onFailed();
+                                case REJECTS -> schedule.onRejected(0);
+                                case REJECTS_WITH_LONG_RETRY_AFTER -> schedule.onRejected(60_000);
+                                case UNREADABLE -> schedule.onUnreadable();
+                                case OUTDATED_LIST -> {
+                                    schedule.onList(5, true, 7, now);
+                                    yield schedule.onFailed();
                                 }
-                                default -> asking.onFailed();
+                                default -> schedule.onFailed();
                             };
-                    due.add(new Due(now + againMs, What.ASK, ++turn[0]));
+                    events.add(new ScheduledEvent(now + delayMs, EventKind.POLL, ++generation[0]));
                 }
             }
         }
-        return newsMs - faultMs;
+        return receivedMs - faultMs;
     }
 
-    enum What {
-        ASK,
-        NEWS,
+    enum EventKind {
+        POLL,
+        LIST,
         FAULT,
-        EXPIRED
+        TIMEOUT
     }
 
-    record Due(double atMs, What what, int turn) {}
+    record ScheduledEvent(double atMs, EventKind kind, int generation) {}
 
-    /** From any state, after any failure, whatever was asked: the next answer comes before a change counts as told. */
+    /**
+     * From any state, after any failure and with any call, the next response is received before the deadline of a
+     * change.
+     */
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void aChangeIsHeardBeforeItCountsAsTold(Fault fault) {
-        for (From from : From.values()) {
+    void changeIsReceivedBeforeItsDeadline(Fault fault) {
+        for (InitialState initialState : InitialState.values()) {
             for (boolean agent : new boolean[] {true, false}) {
-                // An agent answers at once; a service for all in its turn.
-                double replyMs = agent ? 500 : 3_900;
+                // An agent answers immediately; the service for all gateways queues calls.
+                double responseMs = agent ? 500 : 3_900;
                 double worst = IntStream.range(0, 400)
-                        .mapToDouble(i -> newsAfterMs(agent, fault, from, 40 * i, replyMs, i))
+                        .mapToDouble(i -> changeReceivedAfterMs(agent, fault, initialState, 40 * i, responseMs, i))
                         .max()
                         .orElseThrow();
-                assertThat(worst).as("%s agent %s", from, agent).isLessThan(TOLD_MS - 100);
+                assertThat(worst).as("%s agent %s", initialState, agent).isLessThan(CHANGE_DEADLINE_MS - 100);
             }
         }
     }
 
-    /** A fleet that is refused, or told of a move, at one moment does not come back at one. */
+    /** Gateways that are rejected or redirected at the same moment do not call again at the same moment. */
     @Test
-    void aFleetDoesNotAskAServiceInStep() {
-        double[] refused = new double[60];
-        double[] moved = new double[60];
-        for (int i = 0; i < refused.length; i++) {
-            PollSchedule asking = new PollSchedule(false, 7, new SplittableRandom(i));
-            refused[i] = asking.onRejected(60_000);
-            moved[i] = asking.onRedirected();
+    void gatewaysDoNotCallAServiceSimultaneously() {
+        double[] rejectedDelaysMs = new double[60];
+        double[] redirectedDelaysMs = new double[60];
+        for (int i = 0; i < rejectedDelaysMs.length; i++) {
+            PollSchedule schedule = new PollSchedule(false, 7, new SplittableRandom(i));
+            rejectedDelaysMs[i] = schedule.onRejected(60_000);
+            redirectedDelaysMs[i] = schedule.onRedirected();
         }
-        assertThat(DoubleStream.of(refused).max().orElse(0)
-                        - DoubleStream.of(refused).min().orElse(0))
+        assertThat(DoubleStream.of(rejectedDelaysMs).max().orElse(0)
+                        - DoubleStream.of(rejectedDelaysMs).min().orElse(0))
                 .isGreaterThan(400);
-        assertThat(DoubleStream.of(moved).max().orElse(0)
-                        - DoubleStream.of(moved).min().orElse(0))
+        assertThat(DoubleStream.of(redirectedDelaysMs).max().orElse(0)
+                        - DoubleStream.of(redirectedDelaysMs).min().orElse(0))
                 .isGreaterThan(150);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAnswerThatIsNoListLeadsToTheWholeOne(boolean agent) {
-        PollSchedule asking = asking(agent);
-        asking.onUnreadable();
-        assertThat(asking.next().target()).isEqualTo("/api/targets");
+    void completeListIsRequestedAfterAnUnreadableOne(boolean agent) {
+        PollSchedule schedule = createSchedule(agent);
+        schedule.onUnreadable();
+        assertThat(schedule.nextPoll().target()).isEqualTo("/api/targets");
     }
 
     @ParameterizedTest
     @CsvSource({
-        // version, whole, after ms since the first older one: what it is
+        // version, complete, ms since the first older list, expected status
         "8, false, 0, CHANGED", "8, true, 0, CHANGED", "7, false, 0, UNCHANGED", "7, true, 0, UNCHANGED",
         "6, true, 0, OUTDATED", "6, true, 1999, OUTDATED", "6, true, 2000, CHANGED", "6, false, 60000, OUTDATED"
     })
-    void aListOlderThanOursIsNotBelievedAtOnce(long version, boolean whole, double afterMs, Answer kind) {
-        PollSchedule asking = asking(true);
-        if (kind == Answer.OUTDATED || version < 7) asking.onList(5, true, 7, 1_000);
-        assertThat(asking.onList(version, whole, 7, 1_000 + afterMs)).isEqualTo(kind);
-        if (kind == Answer.OUTDATED) assertThat(asking.next().target()).isEqualTo("/api/targets");
+    void olderListIsIgnoredAtFirst(long version, boolean complete, double afterMs, ListStatus expected) {
+        PollSchedule schedule = createSchedule(true);
+        if (expected == ListStatus.OUTDATED || version < 7) schedule.onList(5, true, 7, 1_000);
+        assertThat(schedule.onList(version, complete, 7, 1_000 + afterMs)).isEqualTo(expected);
+        if (expected == ListStatus.OUTDATED)
+            assertThat(schedule.nextPoll().target()).isEqualTo("/api/targets");
     }
 }
--- a/src/test/java/maplerail/fleet/OutlierConsensusTest.java
+++ b/src/test/java/maplerail/fleet/OutlierConsensusTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A tier of ten gateways over twelve engines of one role; engine 1 fails. Gateways talk without loss here. */
+/** A tier of ten gateways that share twelve engines of one kind, of which engine 1 fails. No datagrams are lost. */
 class OutlierConsensusTest {
     private static final int TIER = 10;
     private static final IntPredicate ALL = g -> true;
@@ -35,17 +35,20 @@
         }
     }
 
-    /** Each gateway meets each engine once; those in {@code failing} fail as many as {@code failed} of them. */
-    private void round(int engines, int failed, Set<Long> failing) {
+    /**
+     * Each gateway makes one attempt at each engine; {@code failingEngines} fail the first {@code failedGateways}
+     * gateways.
+     */
+    private void recordRound(int engines, int failedGateways, Set<Long> failingEngines) {
         for (int i = 0; i < TIER; i++) {
             for (long engine = 1; engine <= engines; engine++) {
-                tier[i].recordOutcome(engine, !(failing.contains(engine) && i < failed), now);
+                tier[i].recordOutcome(engine, !(failingEngines.contains(engine) && i < failedGateways), now);
             }
         }
-        tell();
+        exchangeDatagrams();
     }
 
-    private void tell() {
+    private void exchangeDatagrams() {
         for (int i = 0; i < TIER; i++) {
             byte[] datagram = tier[i].nextDatagram().orElse(null);
             if (datagram == null) continue;
@@ -54,44 +57,48 @@
         }
     }
 
-    private long holding(long engine) {
+    private long gatewaysAvoiding(long engine) {
         return IntStream.range(0, TIER)
                 .filter(i -> tier[i].updateEjections(now, ALL).contains(engine))
                 .count();
     }
 
-    static Stream<Arguments> cases() {
+    static Stream<Arguments> ejections() {
         return Stream.of(
-                Arguments.of("fails all", 12, 10, Set.of(1L), TIER - OutlierConsensus.OWNERS),
-                Arguments.of("fails half", 12, 5, Set.of(1L), TIER - OutlierConsensus.OWNERS),
-                Arguments.of("fails two of ten, as all streams do now and then", 12, 2, Set.of(1L), 0),
-                Arguments.of("no more than a quarter is held", 12, 10, Set.of(1L, 2L, 3L, 4L, 5L, 6L), -3),
-                Arguments.of("one of three may be", 3, 10, Set.of(1L), TIER - OutlierConsensus.OWNERS),
-                Arguments.of("of two none", 2, 10, Set.of(1L), 0));
+                Arguments.of("fails all gateways", 12, 10, Set.of(1L), TIER - OutlierConsensus.OWNERS_PER_ENGINE),
+                Arguments.of(
+                        "fails half of the gateways", 12, 5, Set.of(1L), TIER - OutlierConsensus.OWNERS_PER_ENGINE),
+                Arguments.of("fails two of ten gateways, as streams occasionally fail", 12, 2, Set.of(1L), 0),
+                Arguments.of("at most a quarter is ejected", 12, 10, Set.of(1L, 2L, 3L, 4L, 5L, 6L), -3),
+                Arguments.of(
+                        "one of three may be ejected", 3, 10, Set.of(1L), TIER - OutlierConsensus.OWNERS_PER_ENGINE),
+                Arguments.of("none of two is ejected", 2, 10, Set.of(1L), 0));
     }
 
-    /** {@code holders}: how many leave engine 1 alone; below 0, how many engines each gateway leaves alone at most. */
+    /**
+     * {@code avoiding}: how many gateways avoid engine 1; if below 0, the maximum number of engines that each avoids.
+     */
     @ParameterizedTest(name = "{0}")
     @MethodSource
-    void cases(String what, int engines, int failed, Set<Long> failing, int holders) {
+    void ejections(String description, int engines, int failedGateways, Set<Long> failingEngines, int avoiding) {
         start(engines);
-        round(engines, failed, failing);
-        if (holders >= 0) assertThat(holding(1)).isEqualTo(holders);
+        recordRound(engines, failedGateways, failingEngines);
+        if (avoiding >= 0) assertThat(gatewaysAvoiding(1)).isEqualTo(avoiding);
         else
-            for (OutlierConsensus one : tier)
-                assertThat(one.updateEjections(now, ALL).size()).isBetween(1, -holders);
+            for (OutlierConsensus gateway : tier)
+                assertThat(gateway.updateEjections(now, ALL).size()).isBetween(1, -avoiding);
         assertThat(IntStream.range(0, TIER)
                                 .anyMatch(i -> tier[i].updateEjections(now, ALL).contains((long) engines))
-                        && !failing.contains((long) engines))
-                .as("one that is well")
+                        && !failingEngines.contains((long) engines))
+                .as("a healthy engine")
                 .isFalse();
     }
 
     @Test
-    void itIsHeldWhileOwnersSeeItFailAndUsedAgainAfter() {
+    void engineStaysEjectedWhileItsOwnersSeeFailures() {
         start(12);
-        round(12, 10, Set.of(1L));
-        assertThat(holding(1)).isPositive();
+        recordRound(12, 10, Set.of(1L));
+        assertThat(gatewaysAvoiding(1)).isPositive();
         int owner = IntStream.range(0, TIER)
                 .filter(i -> !tier[i].updateEjections(now, ALL).contains(1L))
                 .findFirst()
@@ -99,107 +106,116 @@
         for (int i = 0; i < 5; i++) {
             now += OutlierConsensus.EJECTION_MS - 1_000;
             tier[owner].recordOutcome(1, false, now);
-            tell();
-            assertThat(holding(1)).as("another trial failed").isPositive();
+            exchangeDatagrams();
+            assertThat(gatewaysAvoiding(1)).as("an owner's attempt failed").isPositive();
         }
-        // The owner dies: another has it in its place.
-        IntPredicate without = g -> g != owner;
+        // The owner dies: another gateway becomes an owner.
+        IntPredicate allButOwner = g -> g != owner;
         assertThat(IntStream.range(0, TIER)
                         .filter(i -> i != owner
-                                && !tier[i].updateEjections(now, without).contains(1L))
+                                && !tier[i].updateEjections(now, allButOwner).contains(1L))
                         .count())
-                .isEqualTo(OutlierConsensus.OWNERS);
+                .isEqualTo(OutlierConsensus.OWNERS_PER_ENGINE);
         now += OutlierConsensus.EJECTION_MS;
-        assertThat(holding(1)).isZero();
+        assertThat(gatewaysAvoiding(1)).isZero();
     }
 
-    /** One gateway's word, whether it lies or has a bad path, holds nobody; who had good answers keeps the engine. */
+    /**
+     * Reports of a single gateway, which may be faulty or have a bad network path, eject no engine. A gateway with
+     * successes of its own keeps using an ejected engine.
+     */
     @Test
-    void oneGatewayAloneHoldsNothingAndGoodAnswersOfOnesOwnSpeak() {
+    void oneReporterEjectsNothingAndOwnSuccessesKeepAnEngine() {
         start(12);
         for (int i = 0; i < 50; i++) {
             tier[3].recordOutcome(1, false, now);
-            tell();
+            exchangeDatagrams();
         }
-        assertThat(holding(1)).isZero();
+        assertThat(gatewaysAvoiding(1)).isZero();
         for (int i = 0; i < 5; i++) tier[4].recordOutcome(2, true, now);
         for (int i = 5; i < TIER; i++) for (int n = 0; n < 3; n++) tier[i].recordOutcome(2, false, now);
-        tell();
+        exchangeDatagrams();
         assertThat(tier[4].updateEjections(now, ALL)).doesNotContain(2L);
-        assertThat(holding(2)).isPositive();
+        assertThat(gatewaysAvoiding(2)).isPositive();
     }
 
-    static Stream<Arguments> dropped() {
-        OutlierConsensus from = new OutlierConsensus(1, TIER, 5);
-        from.setEngines(Map.of(1L, 0));
-        from.recordOutcome(1, false, 0);
-        byte[] good = from.nextDatagram().orElseThrow();
-        byte[] other = good.clone();
-        other[1] = 2;
+    static Stream<Arguments> droppedDatagrams() {
+        OutlierConsensus sender = new OutlierConsensus(1, TIER, 5);
+        sender.setEngines(Map.of(1L, 0));
+        sender.recordOutcome(1, false, 0);
+        byte[] valid = sender.nextDatagram().orElseThrow();
+        byte[] otherVersion = valid.clone();
+        otherVersion[1] = 2;
         return Stream.of(
-                Arguments.of(DropReason.UNKNOWN_SENDER, -1, good, good.length),
-                Arguments.of(DropReason.SPOOFED, 2, good, good.length),
-                Arguments.of(DropReason.TOO_SHORT, 1, good, 11),
+                Arguments.of(DropReason.UNKNOWN_SENDER, -1, valid, valid.length),
+                Arguments.of(DropReason.SPOOFED, 2, valid, valid.length),
+                Arguments.of(DropReason.TOO_SHORT, 1, valid, 11),
                 Arguments.of(DropReason.TOO_LONG, 1, new byte[400], 400),
-                Arguments.of(DropReason.TRUNCATED, 1, java.util.Arrays.copyOf(good, good.length + 1), good.length + 1),
-                Arguments.of(DropReason.VERSION, 1, other, other.length),
-                Arguments.of(DropReason.MAGIC, 1, new byte[16], 16));
+                Arguments.of(
+                        DropReason.TRUNCATED, 1, java.util.Arrays.copyOf(valid, valid.length + 1), valid.length + 1),
+                Arguments.of(DropReason.UNSUPPORTED_VERSION, 1, otherVersion, otherVersion.length),
+                Arguments.of(DropReason.BAD_MAGIC, 1, new byte[16], 16));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource
-    void dropped(DropReason reason, int from, byte[] bytes, int length) {
+    void droppedDatagrams(DropReason reason, int sender, byte[] bytes, int length) {
         start(3);
-        tier[0].receive(from, bytes, length, now);
+        tier[0].receive(sender, bytes, length, now);
         assertThat(tier[0].dropped()).isEqualTo(Map.of(reason, 1L));
     }
 
     @Test
-    void itsOwnAndOldOnesAreDroppedAndATableOnlyHoldsWhatIsListed() {
+    void ownAndStaleDatagramsAreDroppedAndUnlistedEnginesIgnored() {
         start(3);
         tier[1].recordOutcome(1, false, now);
         tier[1].recordOutcome(99, false, now);
-        byte[] one = tier[1].nextDatagram().orElseThrow();
-        assertThat(one).hasSize(ReaderPaceDatagram.FORMAT.headerBytes() + 6);
-        tier[1].receive(1, one, one.length, now);
-        tier[0].receive(1, one, one.length, now);
-        tier[0].receive(1, one, one.length, now);
-        assertThat(tier[1].dropped()).isEqualTo(Map.of(DropReason.OWN, 1L));
+        byte[] datagram = tier[1].nextDatagram().orElseThrow();
+        assertThat(datagram).hasSize(ReaderPaceDatagram.FORMAT.headerBytes() + 6);
+        tier[1].receive(1, datagram, datagram.length, now);
+        tier[0].receive(1, datagram, datagram.length, now);
+        tier[0].receive(1, datagram, datagram.length, now);
+        assertThat(tier[1].dropped()).isEqualTo(Map.of(DropReason.SENT_BY_SELF, 1L));
         assertThat(tier[0].dropped()).isEqualTo(Map.of(DropReason.STALE, 1L));
-        assertThat(tier[1].nextDatagram()).as("nothing new").isEmpty();
+        assertThat(tier[1].nextDatagram()).as("no new outcomes").isEmpty();
     }
 
-    /** The module's list: held engines drain; what discovery says of them counts all the same. */
+    /**
+     * The policy's list shows ejected engines as draining; draining and removed engines keep the state from discovery.
+     */
     @Test
-    void aViewShowsHeldEnginesAsDraining() {
+    void viewShowsEjectedEnginesAsDraining() {
         EndpointView view = new EndpointView();
-        assertThat(view.apply(news(EndpointUpdateKind.SNAPSHOT, EndpointState.READY, EndpointState.READY))
+        assertThat(view.apply(endpointUpdate(EndpointUpdateKind.SNAPSHOT, EndpointState.READY, EndpointState.READY))
                         .endpoints())
                 .extracting(Endpoint::state)
                 .containsExactly(EndpointState.READY, EndpointState.READY);
         assertThat(view.setEjected(Set.of(1L)).orElseThrow().endpoints())
                 .extracting(Endpoint::state)
                 .containsExactly(EndpointState.DRAINING);
-        assertThat(view.setEjected(Set.of(1L))).as("nothing new").isEmpty();
+        assertThat(view.setEjected(Set.of(1L))).as("no change").isEmpty();
         assertThat(view.ejectedEngines()).isEqualTo(1);
-        assertThat(view.apply(news(EndpointUpdateKind.SNAPSHOT, EndpointState.READY, EndpointState.READY))
+        assertThat(view.apply(endpointUpdate(EndpointUpdateKind.SNAPSHOT, EndpointState.READY, EndpointState.READY))
                         .endpoints())
                 .extracting(Endpoint::state)
-                .as("told again")
+                .as("listed again")
                 .containsExactly(EndpointState.DRAINING, EndpointState.READY);
-        view.apply(news(EndpointUpdateKind.DELTA, EndpointState.DRAINING, EndpointState.READY));
+        view.apply(endpointUpdate(EndpointUpdateKind.DELTA, EndpointState.DRAINING, EndpointState.READY));
         assertThat(view.ejectedEngines()).isZero();
-        assertThat(view.setEjected(Set.of())).as("discovery has it drain").isEmpty();
-        assertThat(view.apply(news(EndpointUpdateKind.DELTA, EndpointState.READY, EndpointState.REMOVED))
+        assertThat(view.setEjected(Set.of())).as("draining in discovery").isEmpty();
+        assertThat(view.apply(endpointUpdate(EndpointUpdateKind.DELTA, EndpointState.READY, EndpointState.REMOVED))
                         .endpoints())
                 .extracting(Endpoint::state)
                 .containsExactly(EndpointState.READY, EndpointState.REMOVED);
         assertThat(view.kindsByEngine()).containsOnlyKeys(1L);
-        assertThat(view.setEjected(Set.of(2L))).as("one that is gone").isEmpty();
+        assertThat(view.setEjected(Set.of(2L))).as("an engine that was removed").isEmpty();
     }
 
-    private static EndpointUpdate news(EndpointUpdateKind kind, EndpointState one, EndpointState two) {
+    private static EndpointUpdate endpointUpdate(
+            EndpointUpdateKind kind, EndpointState firstState, EndpointState secondState) {
         return new EndpointUpdate(
-                kind, 1, List.of(new Endpoint(1, one, 0, 0, 0, 1, 0), new Endpoint(2, two, 0, 0, 0, 1, 0)));
+                kind,
+                1,
+                List.of(new Endpoint(1, firstState, 0, 0, 0, 1, 0), new Endpoint(2, secondState, 0, 0, 0, 1, 0)));
     }
 }
--- a/src/test/java/maplerail/fleet/ReaderPaceGossipTest.java
+++ b/src/test/java/maplerail/fleet/ReaderPaceGossipTest.java
@@ -15,84 +15,86 @@
     private static final long READER = 0x1234_5678_9abcL;
     private static final long OTHER = 0x0fed_cba9_8765L;
 
-    private static ReaderPaceGossip gateway(int rank) {
-        ReaderPaceGossip exchange = new ReaderPaceGossip(rank, 3, 1_000_000 + rank);
-        exchange.setReaders(List.of(READER, OTHER));
-        return exchange;
+    private static ReaderPaceGossip createGossip(int rank) {
+        ReaderPaceGossip gossip = new ReaderPaceGossip(rank, 3, 1_000_000 + rank);
+        gossip.setReaders(List.of(READER, OTHER));
+        return gossip;
     }
 
     @Test
-    void readsSeenByOneReachAnotherAsTheirMeans() {
-        ReaderPaceGossip a = gateway(0);
-        ReaderPaceGossip b = gateway(1);
+    void meansOfReadsReachOtherGateways() {
+        ReaderPaceGossip a = createGossip(0);
+        ReaderPaceGossip b = createGossip(1);
         a.recordRead(READER, 100, 1_000);
         a.recordRead(READER, 300, 3_000);
-        a.recordRead(0xdead, 50, 10); // not in the list: not told
+        a.recordRead(0xdead, 50, 10); // not listed, so not sent
         byte[] datagram = a.nextDatagram().orElseThrow();
         assertThat(datagram).hasSize(ReaderPaceDatagram.FORMAT.headerBytes() + ReaderPaceDatagram.FORMAT.entryBytes());
         assertThat(b.receive(0, datagram, datagram.length))
                 .containsExactly(new RoutingEvent.PeerRead(READER, 200, 2_000));
-        assertThat(a.nextDatagram()).as("nothing new, nothing sent").isEmpty();
+        assertThat(a.nextDatagram()).as("no new reads").isEmpty();
         assertThat(a.sent().datagrams()).isEqualTo(1);
         assertThat(a.sent().bytes()).isEqualTo(datagram.length);
     }
 
-    static Stream<Arguments> dropped() {
-        byte[] good = told(0);
-        byte[] badMagic = good.clone();
+    static Stream<Arguments> droppedDatagrams() {
+        byte[] valid = encodedDatagram(0);
+        byte[] badMagic = valid.clone();
         badMagic[0] = 1;
-        byte[] badVersion = good.clone();
+        byte[] badVersion = valid.clone();
         badVersion[1] = 9;
-        byte[] noSamples = good.clone();
+        byte[] noSamples = valid.clone();
         noSamples[ReaderPaceDatagram.FORMAT.headerBytes() + 4] = 0;
-        byte[] empty = java.util.Arrays.copyOf(good, ReaderPaceDatagram.FORMAT.headerBytes());
+        byte[] empty = java.util.Arrays.copyOf(valid, ReaderPaceDatagram.FORMAT.headerBytes());
         return Stream.of(
-                Arguments.of("a stranger", -1, good, good.length, DropReason.UNKNOWN_SENDER),
-                Arguments.of("a rank that is not its sender's", 2, good, good.length, DropReason.SPOOFED),
-                Arguments.of("too short", 0, good, 4, DropReason.TOO_SHORT),
+                Arguments.of("unknown sender", -1, valid, valid.length, DropReason.UNKNOWN_SENDER),
+                Arguments.of("rank of another gateway", 2, valid, valid.length, DropReason.SPOOFED),
+                Arguments.of("too short", 0, valid, 4, DropReason.TOO_SHORT),
                 Arguments.of("over 256 bytes", 0, new byte[300], 300, DropReason.TOO_LONG),
-                Arguments.of("a fact cut", 0, good, good.length - 1, DropReason.TRUNCATED),
-                Arguments.of("no facts", 0, empty, empty.length, DropReason.EMPTY),
-                Arguments.of("wrong magic", 0, badMagic, badMagic.length, DropReason.MAGIC),
-                Arguments.of("wrong version", 0, badVersion, badVersion.length, DropReason.VERSION),
+                Arguments.of("truncated entry", 0, valid, valid.length - 1, DropReason.TRUNCATED),
+                Arguments.of("no entries", 0, empty, empty.length, DropReason.EMPTY),
+                Arguments.of("wrong magic", 0, badMagic, badMagic.length, DropReason.BAD_MAGIC),
+                Arguments.of("wrong version", 0, badVersion, badVersion.length, DropReason.UNSUPPORTED_VERSION),
                 Arguments.of("no samples", 0, noSamples, noSamples.length, DropReason.INVALID_VALUE));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource
-    void dropped(String what, int from, byte[] bytes, int length, DropReason reason) {
-        ReaderPaceGossip b = gateway(1);
-        assertThat(b.receive(from, bytes, length)).isEmpty();
+    void droppedDatagrams(String description, int sender, byte[] bytes, int length, DropReason reason) {
+        ReaderPaceGossip b = createGossip(1);
+        assertThat(b.receive(sender, bytes, length)).isEmpty();
         assertThat(b.dropped()).isEqualTo(Map.of(reason, 1L));
         assertThat(b.received()).isZero();
     }
 
     @Test
-    void itsOwnAndOldNewsAreDropped() {
-        ReaderPaceGossip a = gateway(0);
-        byte[] first = told(0);
+    void ownAndStaleDatagramsAreDropped() {
+        ReaderPaceGossip a = createGossip(0);
+        byte[] first = encodedDatagram(0);
         assertThat(a.receive(0, first, first.length)).isEmpty();
-        ReaderPaceGossip b = gateway(1);
-        ReaderPaceGossip sender = gateway(0);
+        ReaderPaceGossip b = createGossip(1);
+        ReaderPaceGossip sender = createGossip(0);
         sender.recordRead(READER, 10, 10);
-        byte[] one = sender.nextDatagram().orElseThrow();
+        byte[] older = sender.nextDatagram().orElseThrow();
         sender.recordRead(READER, 20, 20);
-        byte[] two = sender.nextDatagram().orElseThrow();
-        assertThat(b.receive(0, two, two.length)).hasSize(1);
-        assertThat(b.receive(0, one, one.length)).as("came after a newer one").isEmpty();
-        assertThat(b.receive(0, two, two.length)).as("the same again").isEmpty();
-        // The same rank started anew: a later incarnation, whose sequence begins at 1 again.
+        byte[] newer = sender.nextDatagram().orElseThrow();
+        assertThat(b.receive(0, newer, newer.length)).hasSize(1);
+        assertThat(b.receive(0, older, older.length))
+                .as("received after a newer one")
+                .isEmpty();
+        assertThat(b.receive(0, newer, newer.length)).as("duplicate").isEmpty();
+        // The same rank after a restart: a later incarnation, whose sequence numbers start at 1 again.
         ReaderPaceGossip restarted = new ReaderPaceGossip(0, 3, 2_000_000);
         restarted.setReaders(List.of(READER));
         restarted.recordRead(READER, 30, 30);
-        byte[] three = restarted.nextDatagram().orElseThrow();
-        assertThat(b.receive(0, three, three.length)).hasSize(1);
-        assertThat(a.dropped()).isEqualTo(Map.of(DropReason.OWN, 1L));
+        byte[] afterRestart = restarted.nextDatagram().orElseThrow();
+        assertThat(b.receive(0, afterRestart, afterRestart.length)).hasSize(1);
+        assertThat(a.dropped()).isEqualTo(Map.of(DropReason.SENT_BY_SELF, 1L));
         assertThat(b.dropped()).isEqualTo(Map.of(DropReason.STALE, 2L));
     }
 
     @Test
-    void aDatagramHoldsTheMostSeenReadersWithinTheLimit() {
+    void datagramHoldsTheReadersWithMostReadsWithinTheSizeLimit() {
         ReaderPaceGossip a = new ReaderPaceGossip(0, 2, 0);
         List<Long> many = java.util.stream.LongStream.range(1, 60).boxed().toList();
         a.setReaders(many);
@@ -127,7 +129,7 @@
         assertThat(SerialNumbers.isAfter(5, 5, 16)).isFalse();
     }
 
-    private static byte[] told(int rank) {
+    private static byte[] encodedDatagram(int rank) {
         return new ReaderPaceDatagram(rank, 77, 1, List.of(new ReaderPaceDatagram.Pace((int) READER, 2, 120, 800)))
                 .encode();
     }
--- a/src/test/java/maplerail/migration/DescriptorChannelTest.java
+++ b/src/test/java/maplerail/migration/DescriptorChannelTest.java
@@ -31,80 +31,85 @@
     @TempDir
     Path folder;
 
-    static Stream<Arguments> malformed() throws IOException {
-        byte[] good = STREAM.bytes();
-        byte[] form = good.clone();
-        form[0] = 9;
-        byte[] closes = good.clone();
-        closes[1] = 2;
+    static Stream<Arguments> malformedDescriptions() throws IOException {
+        byte[] valid = STREAM.encode();
+        byte[] otherVersion = valid.clone();
+        otherVersion[0] = 9;
+        byte[] invalidCloseFlag = valid.clone();
+        invalidCloseFlag[1] = 2;
         return Stream.of(
-                Arguments.of("nothing", new byte[0]),
-                Arguments.of("cut", Arrays.copyOf(good, good.length - 1)),
-                Arguments.of("more", Arrays.copyOf(good, good.length + 1)),
-                Arguments.of("another form", form),
-                Arguments.of("neither closing nor not", closes));
+                Arguments.of("empty", new byte[0]),
+                Arguments.of("truncated", Arrays.copyOf(valid, valid.length - 1)),
+                Arguments.of("trailing byte", Arrays.copyOf(valid, valid.length + 1)),
+                Arguments.of("other format version", otherVersion),
+                Arguments.of("invalid close flag", invalidCloseFlag));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource
-    void malformed(String what, byte[] bytes) throws IOException {
-        assertThat(MigratedStream.read(STREAM.bytes())).isEqualTo(STREAM);
-        assertThatThrownBy(() -> MigratedStream.read(bytes)).isInstanceOf(IOException.class);
+    void malformedDescriptions(String description, byte[] bytes) throws IOException {
+        assertThat(MigratedStream.decode(STREAM.encode())).isEqualTo(STREAM);
+        assertThatThrownBy(() -> MigratedStream.decode(bytes)).isInstanceOf(IOException.class);
     }
 
-    /** Written by the version before package migration: both run beside each other during an upgrade. */
+    /** Written by the version before package migration: both versions run side by side during an upgrade. */
     @Test
-    void theBytesOfEarlierVersionsAreReadAndWritten() throws IOException {
-        byte[] earlier = HexFormat.of()
+    void formatOfEarlierVersionsIsReadAndWritten() throws IOException {
+        byte[] bytes = HexFormat.of()
                 .parseHex("01017f0000019c417f000002ffff00066c6f6f6b7570001039623166303361613563376532643431");
-        assertThat(MigratedStream.read(earlier)).isEqualTo(STREAM);
-        assertThat(STREAM.bytes()).isEqualTo(earlier);
+        assertThat(MigratedStream.decode(bytes)).isEqualTo(STREAM);
+        assertThat(STREAM.encode()).isEqualTo(bytes);
     }
 
     @Test
-    void aDescriptionThatIsTooLongIsNotSent() {
+    void descriptionThatIsTooLongIsNotEncoded() {
         MigratedStream huge =
                 new MigratedStream("k", "x".repeat(MigratedStream.MAX_BYTES), false, STREAM.client(), STREAM.engine());
-        assertThatThrownBy(huge::bytes).isInstanceOf(IOException.class);
+        assertThatThrownBy(huge::encode).isInstanceOf(IOException.class);
     }
 
-    /** The far ends of two connections see no end when they change hands, and hear whoever has them now. */
+    /**
+     * The remote ends of two connections see no close when the sockets are passed on, and receive what the new owner
+     * writes.
+     */
     @Test
-    void socketsGoFromOneToTheOther() throws Exception {
-        AtomicReference<SocketChannel> client = new AtomicReference<>();
-        AtomicReference<MigratedStream> told = new AtomicReference<>();
-        try (DescriptorChannel post = DescriptorChannel.listen(folder, 7, (stream, c, e) -> {
-                    told.set(stream);
-                    client.set(c);
-                    return !stream.requestId().equals("unwanted");
+    void socketsArePassedToTheReceiver() throws Exception {
+        AtomicReference<SocketChannel> receivedClient = new AtomicReference<>();
+        AtomicReference<MigratedStream> receivedStream = new AtomicReference<>();
+        try (DescriptorChannel channel = DescriptorChannel.listen(folder, 7, (stream, c, e) -> {
+                    receivedStream.set(stream);
+                    receivedClient.set(c);
+                    return !stream.requestId().equals("rejected");
                 });
-                ServerSocketChannel listening =
+                ServerSocketChannel server =
                         ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                SocketChannel far = SocketChannel.open(listening.getLocalAddress());
-                SocketChannel near = listening.accept();
-                SocketChannel farEngine = SocketChannel.open(listening.getLocalAddress());
-                SocketChannel engine = listening.accept()) {
-            assertThat(DescriptorChannel.Sender.connect(folder, 7)).as("itself").isEmpty();
+                SocketChannel clientEnd = SocketChannel.open(server.getLocalAddress());
+                SocketChannel client = server.accept();
+                SocketChannel engineEnd = SocketChannel.open(server.getLocalAddress());
+                SocketChannel engine = server.accept()) {
+            assertThat(DescriptorChannel.Sender.connect(folder, 7))
+                    .as("this process")
+                    .isEmpty();
             assertThat(DescriptorChannel.Sender.connect(folder.resolve("other"), 8))
-                    .as("nobody")
+                    .as("no listener")
                     .isEmpty();
             try (DescriptorChannel.Sender sender =
                     DescriptorChannel.Sender.connect(folder, 8).orElseThrow()) {
-                assertThat(sender.send(STREAM, near, engine)).isTrue();
-                assertThat(told.get()).isEqualTo(STREAM);
-                MigratedStream unwanted =
-                        new MigratedStream("lookup", "unwanted", false, STREAM.client(), STREAM.engine());
-                SocketChannel mine = client.get();
-                assertThat(sender.send(unwanted, near, engine)).isFalse();
-                near.close(); // what another has too goes on
-                mine.write(ByteBuffer.wrap("on".getBytes()));
-                ByteBuffer heard = ByteBuffer.allocate(2);
-                far.read(heard);
-                assertThat(new String(heard.array())).isEqualTo("on");
-                mine.close();
-                client.get().close();
-                assertThat(far.read(ByteBuffer.allocate(1)))
-                        .as("ended by the last that had it")
+                assertThat(sender.send(STREAM, client, engine)).isTrue();
+                assertThat(receivedStream.get()).isEqualTo(STREAM);
+                MigratedStream rejected =
+                        new MigratedStream("lookup", "rejected", false, STREAM.client(), STREAM.engine());
+                SocketChannel accepted = receivedClient.get();
+                assertThat(sender.send(rejected, client, engine)).isFalse();
+                client.close(); // the receiver's duplicate stays open
+                accepted.write(ByteBuffer.wrap("on".getBytes()));
+                ByteBuffer received = ByteBuffer.allocate(2);
+                clientEnd.read(received);
+                assertThat(new String(received.array())).isEqualTo("on");
+                accepted.close();
+                receivedClient.get().close();
+                assertThat(clientEnd.read(ByteBuffer.allocate(1)))
+                        .as("closed with its last descriptor")
                         .isEqualTo(-1);
             }
         }
--- a/src/test/java/maplerail/migration/HandoverTest.java
+++ b/src/test/java/maplerail/migration/HandoverTest.java
@@ -24,21 +24,21 @@
     Path folder;
 
     @Test
-    void whatIsWrittenIsRead() {
+    void writtenSnapshotIsParsed() {
         assertThat(HandoverSnapshot.parse(SNAPSHOT.toJson(), NOW + 30)).contains(SNAPSHOT);
     }
 
-    /** Written by the version before package migration: both run beside each other during an upgrade. */
+    /** Written by the version before package migration: both versions run side by side during an upgrade. */
     @Test
-    void theTextOfEarlierVersionsIsReadAndWritten() {
-        String earlier =
+    void formatOfEarlierVersionsIsReadAndWritten() {
+        String json =
                 "{\"form\":1,\"written_ms\":1.796155158E12,\"held\":[[1,\"fffffffffffffff9\",\"a89b790ba0b6\",2352,"
                         + "1796155157960],[0,\"299e4f76b58ad\",\"d1fefdb73830\",1785,1796155139000]]}";
-        assertThat(HandoverSnapshot.parse(earlier, NOW + 30)).contains(SNAPSHOT);
-        assertThat(SNAPSHOT.toJson()).isEqualTo(earlier);
+        assertThat(HandoverSnapshot.parse(json, NOW + 30)).contains(SNAPSHOT);
+        assertThat(SNAPSHOT.toJson()).isEqualTo(json);
     }
 
-    /** Nothing in it is needed, so whatever is odd about it only means that there is none. */
+    /** The snapshot is optional, so a malformed one is treated as missing. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', textBlock = """
             "form":1     | "form":2
@@ -53,22 +53,23 @@
             [1,"         | [["1","
             ]]}          | ]]
             """)
-    void whatIsOddIsIgnored(String right, String wrong) {
+    void malformedSnapshotIsIgnored(String valid, String invalid) {
         String text = SNAPSHOT.toJson();
-        assertThat(text).contains(right);
-        assertThat(HandoverSnapshot.parse(text.replace(right, wrong), NOW + 30)).isEmpty();
+        assertThat(text).contains(valid);
+        assertThat(HandoverSnapshot.parse(text.replace(valid, invalid), NOW + 30))
+                .isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"0,true", "4900,true", "5100,false", "86400000,false", "-40,true", "-1000,false"})
-    void whatIsOldOrFromTheFutureIsIgnored(double ageMs, boolean believed) {
+    void oldOrFutureSnapshotIsIgnored(double ageMs, boolean accepted) {
         assertThat(HandoverSnapshot.parse(new HandoverSnapshot(NOW, List.of()).toJson(), NOW + ageMs)
                         .isPresent())
-                .isEqualTo(believed);
+                .isEqualTo(accepted);
     }
 
     @Test
-    void cutAnywhereItIsIgnored() {
+    void truncatedSnapshotIsIgnored() {
         String text = SNAPSHOT.toJson();
         for (int length = 0; length < text.length(); length++) {
             assertThat(HandoverSnapshot.parse(text.substring(0, length), NOW))
@@ -78,21 +79,21 @@
     }
 
     @Test
-    void theLastTextIsTakenOnceAndNothingIsLeftBehind() throws Exception {
+    void lastTextIsReadOnceAndNoFilesRemain() throws Exception {
         new HandoverFile(folder, 1).write("one");
         new HandoverFile(folder, 2).write("two");
         HandoverFile next = new HandoverFile(folder, 3);
         assertThat(next.readAndDelete()).contains("two");
         assertThat(next.readAndDelete()).isEmpty();
-        try (Stream<Path> left = Files.list(folder)) {
-            assertThat(left).isEmpty();
+        try (Stream<Path> files = Files.list(folder)) {
+            assertThat(files).isEmpty();
         }
     }
 
     @Test
-    void aFolderThatIsNotThereCostsNothing() {
-        HandoverFile none = new HandoverFile(folder.resolve("none"), 1);
-        none.write("one");
-        assertThat(none.readAndDelete()).isEmpty();
+    void missingFolderIsIgnored() {
+        HandoverFile missing = new HandoverFile(folder.resolve("none"), 1);
+        missing.write("one");
+        assertThat(missing.readAndDelete()).isEmpty();
     }
 }
