--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -13,51 +13,51 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.StreamConnection;
 
-/** One request on one connection. It is written once and never again, whatever happens to the connection. */
+/** One HTTP request on one connection. It is never written a second time, even if its connection fails. */
 public final class Call {
     private static final Logger LOG = LoggerFactory.getLogger(Call.class);
-    private static final double WITHIN_MS = 2_000; // in which a head or chunk that has begun must end
+    private static final double UNIT_TIMEOUT_MS = 2_000; // for the rest of a head or chunk that has begun
 
     private final Pool pool;
     private final ClientRequest request;
     private final byte[] body;
-    private ByteBuffer bytes; // null until there is a connection
-    private final Reply reply;
-    private final AnswerReader reader;
-    private PooledConnection link;
-    private EventLoop.Timer limit;
-    private boolean wrote;
-    private boolean whole;
+    private ByteBuffer requestBytes; // null until a connection is assigned
+    private final ResponseHandler handler;
+    private final ResponseParser parser;
+    private PooledConnection pooledConnection;
+    private EventLoop.Timer timeoutTimer;
+    private boolean writeStarted;
+    private boolean writeCompleted;
     private boolean paused;
     private boolean reading;
     private boolean failing;
     private boolean done;
-    private int unitsSeen;
-    private String connection = "none";
+    private int lastCompletedUnits;
+    private String connectionLabel = "none";
     private double connectionOpenedMs = Double.NEGATIVE_INFINITY;
-    private double connectionHeardMs = Double.NEGATIVE_INFINITY;
+    private double connectionLastResponseMs = Double.NEGATIVE_INFINITY;
 
-    Call(Pool pool, ClientRequest request, byte[] body, Reply reply) {
+    Call(Pool pool, ClientRequest request, byte[] body, ResponseHandler handler) {
         this.pool = pool;
         this.request = request;
         this.body = body;
-        this.reply = reply;
-        this.reader = new AnswerReader(reply);
+        this.handler = handler;
+        this.parser = new ResponseParser(handler);
     }
 
-    /** The rest of a call whose answer has begun elsewhere; it is between two chunks. */
-    Call(Pool pool, Reply reply) {
+    /** Creates a call that continues a response which another process began to read, from between two chunks on. */
+    Call(Pool pool, ResponseHandler handler) {
         this.pool = pool;
         this.request = null;
         this.body = null;
-        this.bytes = ByteBuffer.allocate(0);
-        this.reply = reply;
-        this.reader = AnswerReader.continued(reply);
-        this.wrote = true;
-        this.whole = true;
+        this.requestBytes = ByteBuffer.allocate(0);
+        this.handler = handler;
+        this.parser = ResponseParser.forRemainingChunks(handler);
+        this.writeStarted = true;
+        this.writeCompleted = true;
     }
 
-    private static ByteBuffer bytes(ClientRequest request, byte[] body) {
+    private static ByteBuffer encode(ClientRequest request, byte[] body) {
         StringBuilder head = new StringBuilder(512)
                 .append(request.getMethod())
                 .append(' ')
@@ -68,124 +68,128 @@
                 head.append(values.getHeaderName()).append(": ").append(value).append("\r\n");
             }
         }
-        byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        return ByteBuffer.allocate(first.length + body.length)
-                .put(first)
+        byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+        return ByteBuffer.allocate(headBytes.length + body.length)
+                .put(headBytes)
                 .put(body)
                 .flip();
     }
 
-    /** True if it releases what an engine holds. */
+    /** True for a call that releases the state an engine holds. */
     boolean isRelease() {
         return request != null && request.getMethod().equals(Methods.DELETE);
     }
 
-    /** True while nothing has been written. */
-    public boolean unsent() {
-        return !wrote && !done;
+    /** True while the call has not ended and nothing of its request has been written. */
+    public boolean isUnsent() {
+        return !writeStarted && !done;
     }
 
-    /** Gives the call up; the reply hears nothing more. */
+    /** Aborts the call; its handler is not called any more. */
     public void abort() {
         if (done) return;
-        reader.stop();
+        parser.stop();
         finish();
     }
 
-    /** True while what has come of the answer leaves nothing half said: then the connection can be handed on. */
-    public boolean between() {
+    /** True while the response is between two events, when {@link #detachConnection} is possible. */
+    public boolean isBetweenEvents() {
         return !done
                 && !failing
                 && !paused
                 && !reading
-                && whole
-                && link != null
-                && reader.betweenChunks()
-                && reply.between();
+                && writeCompleted
+                && pooledConnection != null
+                && parser.isBetweenChunks()
+                && handler.isBetweenEvents();
     }
 
-    /** Gives the connection up as it is, between two events; the reply hears nothing more. */
-    public DetachedConnection handOn() {
-        if (!between()) throw new IllegalStateException("not between two events");
-        PooledConnection used = link;
-        link = null;
+    /** Detaches the connection between two events; the handler is not called any more. */
+    public DetachedConnection detachConnection() {
+        if (!isBetweenEvents()) throw new IllegalStateException("not between two events");
+        PooledConnection detached = pooledConnection;
+        pooledConnection = null;
         finish();
-        used.connection.getSourceChannel().suspendReads();
-        used.connection.getSinkChannel().suspendWrites();
-        pool.forget(used);
-        return new DetachedConnection(used.connection, used.to);
+        detached.connection.getSourceChannel().suspendReads();
+        detached.connection.getSinkChannel().suspendWrites();
+        pool.unregister(detached);
+        return new DetachedConnection(detached.connection, detached.remoteAddress);
     }
 
-    /** A connection in the middle of an answer that nobody reads any more. */
+    /** A connection that was detached in the middle of a response. */
     public record DetachedConnection(StreamConnection connection, InetSocketAddress remoteAddress) {}
 
-    /** Stops reading the answer, so that its sender has to wait. */
+    /** Stops reading the response, which puts backpressure on its sender. */
     public void pause() {
         if (done || paused) return;
         paused = true;
-        calm();
-        if (link != null) link.connection.getSourceChannel().suspendReads();
+        cancelTimeout();
+        if (pooledConnection != null)
+            pooledConnection.connection.getSourceChannel().suspendReads();
     }
 
-    /** Reads on. */
+    /** Resumes reading the response. */
     public void resume() {
         if (!paused) return;
         paused = false;
         pool.loop().execute(this::read);
     }
 
-    /** For the log: its connection, and how much of it was written there, which is no proof of arrival. */
+    /** For the log: the connection, and how much of the request was written to it, which does not prove its arrival. */
     String describe() {
-        String written = whole ? "all" : wrote ? "part" : "none";
-        return "connection=" + connection + " written=" + written;
+        String written = writeCompleted ? "all" : writeStarted ? "part" : "none";
+        return "connection=" + connectionLabel + " written=" + written;
     }
 
-    /** When its connection was opened. */
+    /** When the connection was opened. */
     double connectionOpenedMs() {
         return connectionOpenedMs;
     }
 
-    /** When its connection last carried an answer before this call; when it was opened, if that is none. */
-    double connectionHeardMs() {
-        return connectionHeardMs;
+    /** When the connection last became idle after a response, before this call; if it is new, when it was opened. */
+    double connectionLastResponseMs() {
+        return connectionLastResponseMs;
     }
 
-    /** Reads what has come already, without waiting for its turn on the loop. */
+    /** Reads what has already arrived, before the event loop gets to it. */
     public void readAvailable() {
         read();
     }
 
-    /** Waits for a connection of which nothing is known yet until a timer fires. */
-    void waitUntil(EventLoop.Timer timer) {
-        calm();
-        limit = timer;
+    /** Sets the timer that limits the wait for a connection. */
+    void setWaitTimeout(EventLoop.Timer timer) {
+        cancelTimeout();
+        timeoutTimer = timer;
     }
 
-    boolean done() {
+    boolean isDone() {
         return done;
     }
 
-    /** True unless it is done, or turns out to be of no use to anybody now that it could be written. */
-    boolean wanted() {
-        return !done && reply.wanted() && !done;
+    /**
+     * True unless the call has ended or its handler no longer wants the response. The handler may abort the call
+     * when it is queried.
+     */
+    boolean isWanted() {
+        return !done && handler.isWanted() && !done;
     }
 
-    boolean waiting() {
-        return !done && link == null;
+    boolean isWaitingForConnection() {
+        return !done && pooledConnection == null;
     }
 
-    void on(PooledConnection to) {
-        calm();
-        link = to;
-        connection = to.describe();
-        connectionOpenedMs = to.openedMs;
-        connectionHeardMs = to.idleSinceMs;
-        link.connection.getSourceChannel().setReadListener(c -> read());
-        link.connection.getSinkChannel().setWriteListener(c -> write());
-        link.connection.getSourceChannel().resumeReads();
-        if (bytes == null) {
-            reply.writing(request.getRequestHeaders());
-            bytes = bytes(request, body);
+    void assignConnection(PooledConnection assigned) {
+        cancelTimeout();
+        pooledConnection = assigned;
+        connectionLabel = assigned.labelNextUse();
+        connectionOpenedMs = assigned.openedMs;
+        connectionLastResponseMs = assigned.idleSinceMs;
+        pooledConnection.connection.getSourceChannel().setReadListener(c -> read());
+        pooledConnection.connection.getSinkChannel().setWriteListener(c -> write());
+        pooledConnection.connection.getSourceChannel().resumeReads();
+        if (requestBytes == null) {
+            handler.beforeWrite(request.getRequestHeaders());
+            requestBytes = encode(request, body);
         }
         write();
     }
@@ -193,91 +197,92 @@
     private void write() {
         if (done || failing) return;
         try {
-            while (bytes.hasRemaining()) {
-                if (link.connection.getSinkChannel().write(bytes) == 0) {
-                    link.connection.getSinkChannel().resumeWrites();
+            while (requestBytes.hasRemaining()) {
+                if (pooledConnection.connection.getSinkChannel().write(requestBytes) == 0) {
+                    pooledConnection.connection.getSinkChannel().resumeWrites();
                     return;
                 }
-                wrote = true;
+                writeStarted = true;
             }
-            link.connection.getSinkChannel().suspendWrites();
-            if (!whole) reply.written();
-            whole = true;
+            pooledConnection.connection.getSinkChannel().suspendWrites();
+            if (!writeCompleted) handler.onWritten();
+            writeCompleted = true;
         } catch (IOException e) {
             fail();
         }
     }
 
     private void read() {
-        if (done || failing || paused || link == null || reading) return;
+        if (done || failing || paused || pooledConnection == null || reading) return;
         reading = true;
         try (PooledByteBuffer pooled = pool.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
             while (!done && !paused) {
                 buffer.clear();
-                int count = link.connection.getSourceChannel().read(buffer);
+                int count = pooledConnection.connection.getSourceChannel().read(buffer);
                 if (count == 0) {
-                    link.connection.getSourceChannel().resumeReads();
-                    within();
+                    pooledConnection.connection.getSourceChannel().resumeReads();
+                    updateUnitTimeout();
                     return;
                 }
-                if (count > 0) reader.feed(buffer.flip());
+                if (count > 0) parser.feed(buffer.flip());
                 if (done) return;
-                if (count < 0 && !reader.ended()) throw new IOException("the connection ended within the answer");
-                if (reader.done()) end(count > 0 && !buffer.hasRemaining());
+                if (count < 0 && !parser.onEndOfInput())
+                    throw new IOException("connection closed before the end of the response");
+                if (parser.isDone()) complete(count > 0 && !buffer.hasRemaining());
             }
         } catch (IOException | RuntimeException e) {
-            // Done, it has no connection any more: whoever heard the answer failed on it.
-            if (done) LOG.warn("an answer was not taken", e);
-            else LOG.debug("{}: {}", link.to, e.getMessage(), e);
+            // A call that has ended has no connection any more: the exception comes from the handler.
+            if (done) LOG.warn("response handler failed", e);
+            else LOG.debug("{}: {}", pooledConnection.remoteAddress, e.getMessage(), e);
             fail();
         } finally {
             reading = false;
         }
     }
 
-    /** Guards against an answer that stops in the middle of a head or chunk: neither its sender nor it says so. */
-    private void within() {
-        if (!reader.within() || reader.units() != unitsSeen) calm();
-        unitsSeen = reader.units();
-        if (reader.within() && limit == null)
-            limit = pool.loop().schedule(pool.loop().nowMs() + WITHIN_MS, this::fail);
+    /** Limits the time for the rest of a head or chunk, as nothing else reports a response that stalls within one. */
+    private void updateUnitTimeout() {
+        if (!parser.isWithinUnit() || parser.completedUnits() != lastCompletedUnits) cancelTimeout();
+        lastCompletedUnits = parser.completedUnits();
+        if (parser.isWithinUnit() && timeoutTimer == null)
+            timeoutTimer = pool.loop().schedule(pool.loop().nowMs() + UNIT_TIMEOUT_MS, this::fail);
     }
 
-    private void calm() {
-        if (limit != null) limit.cancel();
-        limit = null;
+    private void cancelTimeout() {
+        if (timeoutTimer != null) timeoutTimer.cancel();
+        timeoutTimer = null;
     }
 
-    /** The answer is whole; a connection on which more came, or not all was written, is of no further use. */
-    private void end(boolean clean) {
-        PooledConnection used = link;
-        boolean again = clean && reader.keepAlive() && !bytes.hasRemaining();
-        if (again) link = null;
+    /** Completes the response. A connection with surplus bytes or a partly written request is not reused. */
+    private void complete(boolean noBytesLeft) {
+        PooledConnection used = pooledConnection;
+        boolean reusable = noBytesLeft && parser.isKeepAlive() && !requestBytes.hasRemaining();
+        if (reusable) pooledConnection = null;
         finish();
-        if (again) pool.keep(used);
-        reply.end();
+        if (reusable) pool.returnIdle(used);
+        handler.onComplete();
     }
 
-    /** It has waited for a connection for as long as it may. */
-    void failUnconnected() {
-        if (waiting()) fail();
+    /** Fails the call if it still waits for a connection. */
+    void failIfUnconnected() {
+        if (isWaitingForConnection()) fail();
     }
 
-    /** Never heard before the call has been handed out. */
+    /** Fails the call. The handler is notified by a later task, so never before the call was returned to its caller. */
     void fail() {
         if (done || failing) return;
         failing = true;
         pool.loop().execute(() -> {
             if (done) return;
             finish();
-            reply.failed(bytes == null || bytes.hasRemaining());
+            handler.onFailed(requestBytes == null || requestBytes.hasRemaining());
         });
     }
 
     private void finish() {
         done = true;
-        calm();
-        if (link != null) link.close();
+        cancelTimeout();
+        if (pooledConnection != null) pooledConnection.close();
     }
 }
--- a/src/main/java/maplerail/net/EngineAttempt.java
+++ b/src/main/java/maplerail/net/EngineAttempt.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 import maplerail.core.AttemptHandle;
 
-/** A {@link Call} as the core sees it; {@code promptRead} says whether the head of a reader's answer has come. */
+/** A {@link Call} as an attempt handle; {@code promptRead} is true once the head of a reader's response has arrived. */
 record EngineAttempt(Call call, BooleanSupplier promptRead) implements AttemptHandle {
     @Override
     public boolean isPromptRead() {
@@ -12,7 +12,7 @@
 
     @Override
     public boolean isUnsent() {
-        return call.unsent();
+        return call.isUnsent();
     }
 
     @Override
@@ -32,7 +32,7 @@
 
     @Override
     public double connectionLastResponseMs() {
-        return call.connectionHeardMs();
+        return call.connectionLastResponseMs();
     }
 
     @Override
@@ -47,11 +47,11 @@
 
     @Override
     public boolean isBetweenEvents() {
-        return call.between();
+        return call.isBetweenEvents();
     }
 
     @Override
     public Object detachConnection() {
-        return call.handOn();
+        return call.detachConnection();
     }
 }
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -35,195 +35,203 @@
 import maplerail.routing.EndpointState;
 import org.xnio.StreamConnection;
 
-/** Attempts and releases on the platform's wire. */
+/** Sends attempts, reservations and releases to engines in the platform's HTTP protocol. */
 public final class EngineClient implements EngineTransport {
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
-    private static final int MOST_LEFT = 2_048; // engines that left, the last of which are remembered
-    private static final int MOST_OTHERS = 6; // told of a release that its engine can't be told of
-    private static final long SPREAD = 0x9e3779b97f4a7c15L;
-    private static final int MOST_READ = 64 * 1024; // of an answer that is no stream
+    private static final int MAX_REMOVED_ENGINES = 2_048; // the latest removed engines, whose addresses are kept
+    private static final int MAX_OTHER_ENGINES = 6; // to which a release goes if its own engine does not answer
+    private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
+    private static final int MAX_TEXT_BYTES = 64 * 1024; // of a response that is not a stream
 
     /**
-     * After the head of a reader's answer, in which its end has to come: the head says that the read has ended and a state waits,
-     * and the limit on that runs.
+     * The time from the head of a reader's response to its end. With the head, the read has ended and its state waits
+     * for a writer, for which the time is limited.
      */
-    private static final double READ_ANSWER_MS = 150;
+    private static final double READ_RESPONSE_TIMEOUT_MS = 150;
 
     private final Pool pool;
     private final Metrics metrics;
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<Long, InetSocketAddress> left = new LinkedHashMap<>();
-    private final Map<Long, String> hosts = new HashMap<>(); // of both
+    private final Map<Long, InetSocketAddress> removedAddresses = new LinkedHashMap<>();
+    private final Map<Long, String> hostNames = new HashMap<>(); // of current and removed engines
     private final Map<ReleaseKey, StateRelease> releases = new HashMap<>();
 
-    private final SilentHolders silentHolders = new SilentHolders();
+    private final UnresponsiveHolders unresponsiveHolders = new UnresponsiveHolders();
 
-    /** One release at a time is enough for what an engine holds for a request. */
+    /** The state that an engine holds for a request; at most one release of it runs at a time. */
     private record ReleaseKey(InetSocketAddress holder, String requestId) {}
 
-    /** Makes a client that opens its connections from a pool. */
+    /** Creates a client that takes its connections from a pool. */
     public EngineClient(Pool pool) {
         this(pool, new Metrics());
     }
 
-    /** The same with its releases counted. */
+    /** Creates a client that counts its reservations and releases. */
     public EngineClient(Pool pool, Metrics metrics) {
         this.pool = pool;
         this.metrics = metrics;
         this.loop = pool.loop();
     }
 
-    /** Where engines are; those that left the list last stay known, as something may be held there. */
+    /**
+     * Applies an engine list or changes to it. The addresses of the latest removed engines stay known, as these engines
+     * may still hold state.
+     */
     public void updateEngines(EngineList list) {
-        if (list.whole()) leave(id -> list.members().stream().noneMatch(member -> member.engine() == id));
+        if (list.whole()) markRemoved(id -> list.members().stream().noneMatch(member -> member.engine() == id));
         addresses.putAll(list.addresses());
-        hosts.putAll(list.hosts());
-        left.keySet().removeAll(list.addresses().keySet());
+        hostNames.putAll(list.hosts());
+        removedAddresses.keySet().removeAll(list.addresses().keySet());
         for (Endpoint member : list.members()) {
-            if (member.state() == EndpointState.REMOVED) leave(id -> id == member.engine());
+            if (member.state() == EndpointState.REMOVED) markRemoved(id -> id == member.engine());
         }
     }
 
-    private void leave(Predicate<Long> gone) {
+    private void markRemoved(Predicate<Long> isRemoved) {
         addresses.entrySet().removeIf(entry -> {
-            if (!gone.test(entry.getKey())) return false;
-            left.put(entry.getKey(), entry.getValue());
-            // Guards against a table that grows with every engine that ever was.
-            if (left.size() > MOST_LEFT) {
-                long oldest = left.keySet().iterator().next();
-                left.remove(oldest);
-                hosts.remove(oldest);
+            if (!isRemoved.test(entry.getKey())) return false;
+            removedAddresses.put(entry.getKey(), entry.getValue());
+            // The table would otherwise grow with every engine that was ever listed.
+            if (removedAddresses.size() > MAX_REMOVED_ENGINES) {
+                long oldest = removedAddresses.keySet().iterator().next();
+                removedAddresses.remove(oldest);
+                hostNames.remove(oldest);
             }
             return true;
         });
     }
 
-    private InetSocketAddress address(long engine) {
-        return addresses.getOrDefault(engine, left.get(engine));
+    private InetSocketAddress addressOf(long engine) {
+        return addresses.getOrDefault(engine, removedAddresses.get(engine));
     }
 
-    /** How the log names an engine: by its number, as the policy does, and by the name that discovery gives it. */
+    /** An engine's label in the log: its number, as the policy prints it, and its host name in discovery. */
     public String describe(long engine) {
-        return Long.toHexString(engine) + "/" + hosts.getOrDefault(engine, "unknown");
+        return Long.toHexString(engine) + "/" + hostNames.getOrDefault(engine, "unknown");
     }
 
-    /** Engines whose address is known. */
-    public int known() {
-        return addresses.size() + left.size();
+    /** The number of engines whose address is known. */
+    public int knownEngines() {
+        return addresses.size() + removedAddresses.size();
     }
 
     @Override
     public AttemptHandle send(
-            long engine, InferenceRequest ask, double untilMs, ConnectionChoice connection, AttemptObserver answer) {
-        HttpRequestPayload cargo = (HttpRequestPayload) ask.payload();
-        InetSocketAddress to = address(engine);
-        ClientRequest request = HttpRequests.create(to, cargo.method(), cargo.target());
-        for (Map.Entry<HttpString, String> header : cargo.headers()) {
-            request.getRequestHeaders().add(header.getKey(), header.getValue());
+            long engine,
+            InferenceRequest inferenceRequest,
+            double deadlineMs,
+            ConnectionChoice connection,
+            AttemptObserver observer) {
+        HttpRequestPayload payload = (HttpRequestPayload) inferenceRequest.payload();
+        InetSocketAddress address = addressOf(engine);
+        ClientRequest httpRequest = HttpRequests.create(address, payload.method(), payload.target());
+        for (Map.Entry<HttpString, String> header : payload.headers()) {
+            httpRequest.getRequestHeaders().add(header.getKey(), header.getValue());
         }
-        request.getRequestHeaders().put(Headers.CONTENT_LENGTH, cargo.body().length);
-        Incoming reply = new Incoming(answer) {
-            // Guards against an engine that is told of time which went by while its connection came up.
+        httpRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, payload.body().length);
+        EngineResponseHandler handler = new EngineResponseHandler(observer) {
+            // Set at the last moment: the time spent waiting for a connection is no longer available to the engine.
             @Override
-            public void writing(HeaderMap headers) {
-                double left = Math.max(1, untilMs - loop.nowMs()) / 1_000;
-                headers.put(DEADLINE, String.format(Locale.ROOT, "%.3f", left));
+            public void beforeWrite(HeaderMap headers) {
+                double remainingSeconds = Math.max(1, deadlineMs - loop.nowMs()) / 1_000;
+                headers.put(DEADLINE, String.format(Locale.ROOT, "%.3f", remainingSeconds));
             }
 
             @Override
             void onPromptRead() {
-                loop.schedule(loop.nowMs() + READ_ANSWER_MS, this::endIncomplete);
+                loop.schedule(loop.nowMs() + READ_RESPONSE_TIMEOUT_MS, this::failIfIncomplete);
             }
         };
-        reply.call = pool.start(to, request, cargo.body(), reply, connection);
-        return new EngineAttempt(reply.call, () -> reply.meaning == AttemptOutcome.PROMPT_READ);
+        handler.call = pool.start(address, httpRequest, payload.body(), handler, connection);
+        return new EngineAttempt(handler.call, () -> handler.outcome == AttemptOutcome.PROMPT_READ);
     }
 
     @Override
     public void closeIdleConnections(long engine) {
-        InetSocketAddress to = address(engine);
-        if (to != null) pool.closeIdle(to);
+        InetSocketAddress address = addressOf(engine);
+        if (address != null) pool.closeIdle(address);
     }
 
-    /** Goes on with an engine's stream that another process began, from between two events. */
-    public AttemptHandle adoptStream(InetSocketAddress to, StreamConnection connection, AttemptObserver answer) {
-        Incoming incoming = new Incoming(answer);
-        incoming.meaning = AttemptOutcome.COMPLETED;
-        incoming.framed = true;
-        return new EngineAttempt(pool.adopt(to, connection, incoming), () -> false);
+    /** Continues an engine's stream that another process began to relay, from between two events on. */
+    public AttemptHandle adoptStream(InetSocketAddress address, StreamConnection connection, AttemptObserver observer) {
+        EngineResponseHandler handler = new EngineResponseHandler(observer);
+        handler.outcome = AttemptOutcome.COMPLETED;
+        handler.framed = true;
+        return new EngineAttempt(pool.adopt(address, connection, handler), () -> false);
     }
 
-    /** An engine's answer, told as an outcome. */
-    private static class Incoming implements Reply {
-        private final AttemptObserver answer;
-        private final EventSplitter events = new EventSplitter();
-        private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-        private AttemptOutcome meaning;
+    /** Passes an engine's response to an observer as events and an outcome. */
+    private static class EngineResponseHandler implements ResponseHandler {
+        private final AttemptObserver observer;
+        private final EventSplitter eventSplitter = new EventSplitter();
+        private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream();
+        private AttemptOutcome outcome;
         private boolean framed;
-        private boolean unfit;
+        private boolean invalidRequest;
         private Call call;
 
-        Incoming(AttemptObserver answer) {
-            this.answer = answer;
+        EngineResponseHandler(AttemptObserver observer) {
+            this.observer = observer;
         }
 
         @Override
-        public boolean wanted() {
-            return answer.isNeeded();
+        public boolean isWanted() {
+            return observer.isNeeded();
         }
 
         @Override
-        public void written() {
-            answer.onSent();
+        public void onWritten() {
+            observer.onSent();
         }
 
         @Override
-        public void head(int status, HeaderMap headers) {
-            meaning = Outcomes.of(status, headers);
-            unfit = Outcomes.unfit(status);
-            // Without framing the end of the connection is no sign of a whole answer.
+        public void onHead(int status, HeaderMap headers) {
+            outcome = AttemptOutcomes.of(status, headers);
+            invalidRequest = AttemptOutcomes.isInvalidRequest(status);
+            // Without framing, the end of the connection does not prove that the response is complete.
             framed = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
-            if (meaning == AttemptOutcome.PROMPT_READ) onPromptRead();
+            if (outcome == AttemptOutcome.PROMPT_READ) onPromptRead();
         }
 
-        /** The head of a reader's answer has come. */
+        /** Called when the head of a reader's response has arrived. */
         void onPromptRead() {}
 
-        /** Gives up an answer whose end has not come by now. */
-        final void endIncomplete() {
-            if (!call.done()) call.fail();
+        /** Fails the call if its response is still incomplete. */
+        final void failIfIncomplete() {
+            if (!call.isDone()) call.fail();
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            if (meaning == AttemptOutcome.COMPLETED) {
-                if (!events.feed(piece, answer::onEvent)) framed = false;
-            } else if (text.size() < MOST_READ) {
-                while (piece.hasRemaining()) text.write(piece.get());
+        public void onBody(ByteBuffer piece) {
+            if (outcome == AttemptOutcome.COMPLETED) {
+                if (!eventSplitter.feed(piece, observer::onEvent)) framed = false;
+            } else if (bodyBytes.size() < MAX_TEXT_BYTES) {
+                while (piece.hasRemaining()) bodyBytes.write(piece.get());
             }
         }
 
         @Override
-        public void end() {
-            if (unfit) {
-                answer.onInvalidRequest();
+        public void onComplete() {
+            if (invalidRequest) {
+                observer.onInvalidRequest();
                 return;
             }
-            if (meaning == AttemptOutcome.COMPLETED && framed && events.rest().length > 0)
-                answer.onEvent(events.rest());
-            answer.onEnded(meaning == AttemptOutcome.COMPLETED && !framed ? AttemptOutcome.RESET : meaning, kept());
+            if (outcome == AttemptOutcome.COMPLETED && framed && eventSplitter.partialEventBytes().length > 0)
+                observer.onEvent(eventSplitter.partialEventBytes());
+            observer.onEnded(
+                    outcome == AttemptOutcome.COMPLETED && !framed ? AttemptOutcome.RESET : outcome, cachedTokens());
         }
 
         @Override
-        public boolean between() {
-            return meaning == AttemptOutcome.COMPLETED && framed && events.rest().length == 0;
+        public boolean isBetweenEvents() {
+            return outcome == AttemptOutcome.COMPLETED && framed && eventSplitter.partialEventBytes().length == 0;
         }
 
-        private double kept() {
-            if (meaning != AttemptOutcome.PROMPT_READ) return 0;
+        private double cachedTokens() {
+            if (outcome != AttemptOutcome.PROMPT_READ) return 0;
             try {
-                return Tree.any("read", text.toString(StandardCharsets.UTF_8))
+                return Tree.any("read", bodyBytes.toString(StandardCharsets.UTF_8))
                         .at("cached_tokens")
                         .number(0);
             } catch (ConfigException e) {
@@ -232,8 +240,8 @@
         }
 
         @Override
-        public void failed(boolean neverSent) {
-            answer.onEnded(Outcomes.broken(meaning, neverSent), 0);
+        public void onFailed(boolean neverSent) {
+            observer.onEnded(AttemptOutcomes.ofIncomplete(outcome, neverSent), 0);
         }
     }
 
@@ -241,53 +249,57 @@
     public void reservePlace(
             long engine, String requestId, ConnectionChoice connection, Consumer<ReservePlaceResult> onAnswer) {
         metrics.count(EventCount.PLACES_ASKED);
-        new PlaceCall(pool, address(engine), requestId, onAnswer).start(connection);
+        new ReservationCall(pool, addressOf(engine), requestId, onAnswer).start(connection);
     }
 
     @Override
-    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {
-        InetSocketAddress known = address(engine);
-        List<InetSocketAddress> instead = lastToAnswer(others, known, id, gate);
-        // Any engine can release a state: one that has long left may have left it behind.
-        InetSocketAddress holder = known != null || instead.isEmpty() ? known : instead.get(0);
+    public void release(long engine, Set<Long> others, String requestId, double untilMs, ReleaseControl control) {
+        InetSocketAddress engineAddress = addressOf(engine);
+        List<InetSocketAddress> otherAddresses = otherEnginesByPreference(others, engineAddress, requestId, control);
+        // Any engine can release a state, even that of an engine removed too long ago for its address to be known.
+        InetSocketAddress holder =
+                engineAddress != null || otherAddresses.isEmpty() ? engineAddress : otherAddresses.get(0);
         if (holder == null) {
-            gate.onEnded(false);
+            control.onEnded(false);
             return;
         }
-        ReleaseKey key = new ReleaseKey(holder, id);
+        ReleaseKey key = new ReleaseKey(holder, requestId);
         StateRelease running = releases.get(key);
         if (running != null) {
-            running.renew(untilMs, gate);
+            running.renew(untilMs, control);
             return;
         }
-        Runnable onOver = () -> releases.remove(key);
-        StateRelease release =
-                new StateRelease(pool, metrics, silentHolders, holder, instead, id, untilMs, gate, onOver);
+        Runnable onEnd = () -> releases.remove(key);
+        StateRelease release = new StateRelease(
+                pool, metrics, unresponsiveHolders, holder, otherAddresses, requestId, untilMs, control, onEnd);
         releases.put(key, release);
-        release.start(gate.connection());
+        release.start(control.connection());
     }
 
-    /** The engines that may be asked instead of one: no suspects, and those that answered here last, come first. */
-    private List<InetSocketAddress> lastToAnswer(
-            Set<Long> among, InetSocketAddress but, String id, ReleaseControl gate) {
-        Set<InetSocketAddress> suspects = new HashSet<>();
-        Map<InetSocketAddress, Double> quietMs = new HashMap<>();
-        for (long engine : among) {
-            InetSocketAddress address = address(engine);
-            if (address != null && !address.equals(but)) {
-                quietMs.put(address, loop.nowMs() - pool.idleSinceMs(address));
-                if (gate.isUnresponsive(engine)) suspects.add(address);
+    /**
+     * The engines to try besides the holder: the unresponsive ones come last, otherwise those that answered this gateway
+     * most recently come first.
+     */
+    private List<InetSocketAddress> otherEnginesByPreference(
+            Set<Long> candidates, InetSocketAddress excluded, String requestId, ReleaseControl control) {
+        Set<InetSocketAddress> unresponsive = new HashSet<>();
+        Map<InetSocketAddress, Double> idleMs = new HashMap<>();
+        for (long engine : candidates) {
+            InetSocketAddress address = addressOf(engine);
+            if (address != null && !address.equals(excluded)) {
+                idleMs.put(address, loop.nowMs() - pool.idleSinceMs(address));
+                if (control.isUnresponsive(engine)) unresponsive.add(address);
             }
         }
-        return quietMs.keySet().stream()
-                .sorted(Comparator.comparing(suspects::contains)
-                        .thenComparingDouble(quietMs::get)
-                        .thenComparingLong(address -> (address.hashCode() ^ id.hashCode()) * SPREAD))
-                .limit(MOST_OTHERS)
+        return idleMs.keySet().stream()
+                .sorted(Comparator.comparing(unresponsive::contains)
+                        .thenComparingDouble(idleMs::get)
+                        .thenComparingLong(address -> (address.hashCode() ^ requestId.hashCode()) * HASH_MULTIPLIER))
+                .limit(MAX_OTHER_ENGINES)
                 .toList();
     }
 
-    /** Releases that nobody has taken yet and that still may be. */
+    /** The number of releases that their holders have not answered and that have not expired. */
     public int pendingReleases() {
         return releases.size();
     }
--- a/src/main/java/maplerail/net/EventSplitter.java
+++ b/src/main/java/maplerail/net/EventSplitter.java
@@ -8,16 +8,16 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of server-sent events after each blank line. Guards against passing on half an event when a
- * stream breaks: the client would have to count a token that it cannot read.
+ * Splits a stream of server-sent events after each blank line. Only complete events are delivered: if a stream broke
+ * within an event, the client would have to count a token that it cannot read.
  */
 public final class EventSplitter {
-    private static final int MOST = 256 * 1024; // of an event that does not end
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private static final int MAX_PARTIAL_EVENT_BYTES = 256 * 1024;
+    private final ByteArrayOutputStream partialEvent = new ByteArrayOutputStream();
     private boolean lineEmpty = true;
 
-    /** Hands on all events that are whole now, in one piece; false for an event without end. */
-    boolean feed(ByteBuffer piece, Consumer<byte[]> whole) {
+    /** Delivers all events that are complete, in one piece; false if an incomplete event is too large. */
+    boolean feed(ByteBuffer piece, Consumer<byte[]> onEvents) {
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         int end = 0;
@@ -29,17 +29,17 @@
                 lineEmpty = false;
             }
         }
-        begun.write(bytes, 0, end);
+        partialEvent.write(bytes, 0, end);
         if (end > 0) {
-            byte[] events = begun.toByteArray();
-            begun.reset();
-            whole.accept(events);
+            byte[] events = partialEvent.toByteArray();
+            partialEvent.reset();
+            onEvents.accept(events);
         }
-        begun.write(bytes, end, bytes.length - end);
-        return begun.size() <= MOST;
+        partialEvent.write(bytes, end, bytes.length - end);
+        return partialEvent.size() <= MAX_PARTIAL_EVENT_BYTES;
     }
 
-    /** The data of each event in a piece of whole ones; events without any are left out. */
+    /** The data of each event in a sequence of complete events; events without data are left out. */
     public static List<String> extractData(byte[] events) {
         List<String> out = new ArrayList<>();
         for (String event : new String(events, StandardCharsets.UTF_8).split("\r?\n\r?\n")) {
@@ -54,8 +54,8 @@
         return out;
     }
 
-    /** What came after the last whole event. */
-    byte[] rest() {
-        return begun.toByteArray();
+    /** The bytes received after the last complete event. */
+    byte[] partialEventBytes() {
+        return partialEvent.toByteArray();
     }
 }
--- a/src/main/java/maplerail/net/HttpRequestPayload.java
+++ b/src/main/java/maplerail/net/HttpRequestPayload.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import maplerail.core.RequestPayload;
 
-/** A client's request as it came: what passes on to an engine unchanged. */
+/** The parts of a client's HTTP request that are forwarded to an engine unchanged. */
 public record HttpRequestPayload(
         HttpString method, String target, List<Map.Entry<HttpString, String>> headers, byte[] body)
         implements RequestPayload {}
--- a/src/main/java/maplerail/net/HttpRequests.java
+++ b/src/main/java/maplerail/net/HttpRequests.java
@@ -5,11 +5,11 @@
 import io.undertow.util.HttpString;
 import java.net.InetSocketAddress;
 
-/** Requests to a server at an address. */
+/** Creates HTTP requests. */
 public final class HttpRequests {
     private HttpRequests() {}
 
-    /** One with its host named and nothing else. */
+    /** Creates a request to the server at an address, with no header but {@code Host}. */
     public static ClientRequest create(InetSocketAddress address, HttpString method, String target) {
         ClientRequest request = new ClientRequest().setMethod(method).setPath(target);
         request.getRequestHeaders().put(Headers.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
--- a/src/main/java/maplerail/net/PeerDatagramChannel.java
+++ b/src/main/java/maplerail/net/PeerDatagramChannel.java
@@ -11,73 +11,74 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * UDP datagrams between gateways, on the worker's one I/O thread: what is heard is handed on with its sender's address,
- * what is sent goes out whole or not at all. It decides nothing and reads nothing into the bytes; a datagram longer than
- * PROTOCOL's 256 bytes is handed on with its length, up to {@link #ROOM}, so that it can be refused and counted.
+ * Sends and receives UDP datagrams between gateways, on the worker's only I/O thread. A received datagram is
+ * delivered with its sender's address; a datagram is sent completely or not at all. The content is not interpreted: one
+ * longer than the 256 bytes of PROTOCOL is delivered too, up to {@link #MAX_RECEIVED_BYTES}, so that the listener can
+ * reject and count it.
  */
 public final class PeerDatagramChannel implements Closeable {
-    /** The most bytes of one datagram that are read; anything longer is cut there and refused on its length. */
-    public static final int ROOM = 512;
+    /** The maximum of bytes read of one datagram; a longer one is truncated to it, and rejected for its length. */
+    public static final int MAX_RECEIVED_BYTES = 512;
 
-    /** Hears a datagram on the loop: {@code length} bytes of {@code bytes}. */
+    /** Receives datagrams on the event loop: {@code length} bytes of {@code bytes}. */
     public interface Listener {
-        void onDatagram(InetSocketAddress from, byte[] bytes, int length);
+        void onDatagram(InetSocketAddress sender, byte[] bytes, int length);
     }
 
     private final MulticastMessageChannel channel;
-    private final ByteBuffer in = ByteBuffer.allocate(ROOM);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MAX_RECEIVED_BYTES);
     private final Listener listener;
-    private long unsent;
+    private long unsentDatagrams;
 
     private PeerDatagramChannel(MulticastMessageChannel channel, Listener listener) {
         this.channel = channel;
         this.listener = listener;
     }
 
-    /** Listens at {@code at}, the configuration's {@code peer_listen}; datagrams are sent from there too. */
-    public static PeerDatagramChannel open(XnioWorker worker, InetSocketAddress at, Listener listener)
+    /** Binds to {@code address}, the configuration's {@code peer_listen}; datagrams are sent from it too. */
+    public static PeerDatagramChannel open(XnioWorker worker, InetSocketAddress address, Listener listener)
             throws IOException {
-        MulticastMessageChannel channel = worker.createUdpServer(at, c -> {}, OptionMap.EMPTY);
-        PeerDatagramChannel link = new PeerDatagramChannel(channel, listener);
-        channel.getReadSetter().set(c -> link.readAll());
+        MulticastMessageChannel channel = worker.createUdpServer(address, c -> {}, OptionMap.EMPTY);
+        PeerDatagramChannel peerChannel = new PeerDatagramChannel(channel, listener);
+        channel.getReadSetter().set(c -> peerChannel.readAll());
         channel.resumeReads();
-        return link;
+        return peerChannel;
     }
 
     private void readAll() {
         try {
             while (true) {
-                SocketAddressBuffer from = new SocketAddressBuffer();
-                in.clear();
-                int length = channel.receiveFrom(from, in);
-                if (length < 0 || !(from.getSourceAddress() instanceof InetSocketAddress source)) return;
-                byte[] bytes = new byte[in.position()];
-                in.flip();
-                in.get(bytes);
+                SocketAddressBuffer sender = new SocketAddressBuffer();
+                receiveBuffer.clear();
+                int length = channel.receiveFrom(sender, receiveBuffer);
+                if (length < 0 || !(sender.getSourceAddress() instanceof InetSocketAddress source)) return;
+                byte[] bytes = new byte[receiveBuffer.position()];
+                receiveBuffer.flip();
+                receiveBuffer.get(bytes);
                 listener.onDatagram(source, bytes, bytes.length);
             }
         } catch (IOException e) {
-            // A datagram that can't be read is one that never came: peers are late or silent by nature.
+            // Equivalent to a lost datagram, which peers have to tolerate anyway.
         }
     }
 
-    /** Sends one datagram; false where the socket would not take it now (it is then lost, as any may be). */
+    /** Sends one datagram; false if the socket did not accept it now. It is then lost, as any datagram may be. */
     public boolean send(InetSocketAddress to, byte[] bytes) {
         try {
             if (channel.sendTo(to, ByteBuffer.wrap(bytes))) return true;
         } catch (IOException e) {
-            // As above: lost.
+            // Lost, as above.
         }
-        unsent++;
+        unsentDatagrams++;
         return false;
     }
 
-    /** Datagrams that could not be sent. */
-    public long unsent() {
-        return unsent;
+    /** The number of datagrams that could not be sent. */
+    public long unsentDatagrams() {
+        return unsentDatagrams;
     }
 
-    /** Where it listens. */
+    /** The address that the channel is bound to. */
     public InetSocketAddress localAddress() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/Pool.java
@@ -23,299 +23,328 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** Connections to engines and other servers, kept while they are fresh. Nothing here sends anything twice. */
+/**
+ * A pool of connections to engines and other servers. Idle ones are closed well before the server would close them. The
+ * pool never sends a request twice.
+ */
 public final class Pool {
     private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
-    private static final double RETIRE_SHARE = 0.5; // of the time after which the far side closes
-    private static final double SETTLE_MS = 30; // after an answer, in which what else belongs to it would come
-    private static final int MAX_CONNECTING = 24; // to one address: one that never answers must not take all
-    private static final int MAX_CONNECTING_IN_ALL = 64; // a gateway that is behind begins no more
-    private static final int MAX_CONNECTING_FOR_RELEASES = 80; // in all: what they release is held meanwhile
-    private static final double SWEEP_MS = 1_000;
+    private static final double MAX_IDLE_FRACTION = 0.5; // of the idle time after which the server closes a connection
+    private static final double SETTLE_DELAY_MS = 30; // after a response, in which surplus bytes would arrive
+    private static final int MAX_CONNECTING_PER_ADDRESS = 24; // an unresponsive address must not use up the total
+    private static final int MAX_CONNECTING_TOTAL = 64; // a gateway whose event loop lags starts no more
+    private static final int MAX_CONNECTING_TOTAL_FOR_RELEASES = 80; // more: state stays reserved until its release
+    private static final double SWEEP_INTERVAL_MS = 1_000;
     private static final OptionMap OPTIONS =
             OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
 
     private final XnioLoop loop;
     private final Metrics metrics;
     private final ByteBufferPool buffers;
-    private double retireMs;
-    private double connectMs;
-    private final int most;
+    private double maxIdleMs;
+    private double connectTimeoutMs;
+    private final int maxConnections;
     private final Map<InetSocketAddress, ArrayDeque<PooledConnection>> idle = new HashMap<>();
     private final Map<InetSocketAddress, Integer> connecting = new HashMap<>();
-    private final Map<InetSocketAddress, WaitingCalls> queued = new HashMap<>();
-    private final Set<PooledConnection> links = new HashSet<>();
-    private int connectingInAll;
-    private long lastNumber;
-    private boolean sweeping;
-    private double settleMs = SETTLE_MS;
+    private final Map<InetSocketAddress, WaitingCalls> waitingByAddress = new HashMap<>();
+    private final Set<PooledConnection> openConnections = new HashSet<>();
+    private int connectingTotal;
+    private long lastConnectionNumber;
+    private boolean sweepScheduled;
+    private double settleDelayMs = SETTLE_DELAY_MS;
     private Runnable beforeUse = () -> {};
 
-    /** The calls that wait for a connection to one address, and when one last came up there while any waited. */
+    /** The calls that wait for a connection to one address, and when one was last established while any waited. */
     private static final class WaitingCalls {
         private final ArrayDeque<Call> calls = new ArrayDeque<>();
-        private double connectedMs = Double.NEGATIVE_INFINITY;
+        private double lastConnectedMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Makes a pool of at most so many connections, which the far side closes after being idle for some time. */
-    public Pool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int most) {
-        this(loop, buffers, connIdleMs, connectTimeoutMs, most, new Metrics());
+    /** Creates a pool for servers that close their connections after {@code connIdleMs} without a request. */
+    public Pool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int maxConnections) {
+        this(loop, buffers, connIdleMs, connectTimeoutMs, maxConnections, new Metrics());
     }
 
-    /** The same, with its dials counted. */
+    /** Creates a pool that counts its connects. */
     public Pool(
             XnioLoop loop,
             ByteBufferPool buffers,
             double connIdleMs,
             double connectTimeoutMs,
-            int most,
+            int maxConnections,
             Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
         this.buffers = buffers;
-        this.most = most;
+        this.maxConnections = maxConnections;
         updateTimeouts(connIdleMs, connectTimeoutMs);
     }
 
-    /** For a far side that says nothing that was not asked for: a connection may be used again at once. */
+    /** Lets connections be reused at once, for servers that send nothing unsolicited. */
     public Pool withoutSettleDelay() {
-        settleMs = 0;
+        settleDelayMs = 0;
         return this;
     }
 
-    /** What is done before a call that waited for a connection is written: news may have come that it has to obey. */
-    public void setBeforeUseHook(Runnable what) {
-        beforeUse = what;
+    /**
+     * Sets a hook that runs before a call that waited for a connection is written. It applies updates that have arrived
+     * meanwhile and may abort the call.
+     */
+    public void setBeforeUseHook(Runnable hook) {
+        beforeUse = hook;
     }
 
-    /** Other times from now on. */
-    public void updateTimeouts(double connIdleMs, double connectTimeoutMs) {
-        retireMs = connIdleMs * RETIRE_SHARE;
-        connectMs = connectTimeoutMs;
+    /** Replaces the idle time and the connect timeout. */
+    public void updateTimeouts(double newConnIdleMs, double newConnectTimeoutMs) {
+        maxIdleMs = newConnIdleMs * MAX_IDLE_FRACTION;
+        connectTimeoutMs = newConnectTimeoutMs;
     }
 
-    /** Starts a request; the reply hears of it after this call has returned. */
-    public Call start(InetSocketAddress to, ClientRequest request, byte[] body, Reply reply) {
-        Call call = new Call(this, request, body, reply);
-        if (!begin(to, call)) waitForConnection(to, call);
+    /** Starts a request; its response or failure is reported only after this method has returned. */
+    public Call start(InetSocketAddress address, ClientRequest request, byte[] body, ResponseHandler handler) {
+        Call call = new Call(this, request, body, handler);
+        if (!tryStart(address, call)) waitForConnection(address, call);
         return call;
     }
 
-    /** The same on a connection of choice; at the limit of connections it waits for whichever is free first. */
-    Call start(InetSocketAddress to, ClientRequest request, byte[] body, Reply reply, ConnectionChoice connection) {
-        if (connection == ConnectionChoice.ANY) return start(to, request, body, reply);
-        Call call = new Call(this, request, body, reply);
-        if (mayConnect(to, call)) connect(to, call);
-        else waitForConnection(to, call);
+    /**
+     * Starts a request, on a new connection if the choice demands one. At the limit of connections the request waits
+     * for any that becomes available.
+     */
+    Call start(
+            InetSocketAddress address,
+            ClientRequest request,
+            byte[] body,
+            ResponseHandler handler,
+            ConnectionChoice choice) {
+        if (choice == ConnectionChoice.ANY) return start(address, request, body, handler);
+        Call call = new Call(this, request, body, handler);
+        if (mayConnect(address, call)) connect(address, call);
+        else waitForConnection(address, call);
         return call;
     }
 
-    /** Closes the connections there on which nothing is asked: they may have fallen silent with no error. */
-    void closeIdle(InetSocketAddress to) {
-        ArrayDeque<PooledConnection> kept = idle.remove(to);
-        if (kept != null) kept.forEach(PooledConnection::close);
+    /** Closes the idle connections to an address: they may have failed without an error. */
+    void closeIdle(InetSocketAddress address) {
+        ArrayDeque<PooledConnection> idleConnections = idle.remove(address);
+        if (idleConnections != null) idleConnections.forEach(PooledConnection::close);
     }
 
-    private void waitForConnection(InetSocketAddress to, Call call) {
-        WaitingCalls waiting = queued.computeIfAbsent(to, t -> new WaitingCalls());
-        // A release behind a crowd of reads would wait until what it releases has been held for too long.
+    private void waitForConnection(InetSocketAddress address, Call call) {
+        WaitingCalls waiting = waitingByAddress.computeIfAbsent(address, t -> new WaitingCalls());
+        // Behind many reads, a release would wait until its state has been reserved for too long.
         if (call.isRelease()) waiting.calls.addFirst(call);
         else waiting.calls.addLast(call);
-        limitWait(waiting, call);
+        scheduleWaitTimeout(waiting, call);
     }
 
-    /** Fails a call that has waited for as long as a connection may take, unless one has come up there meanwhile. */
-    private void limitWait(WaitingCalls waiting, Call call) {
+    /** Fails a call that has waited for the connect timeout, unless a connection was established there meanwhile. */
+    private void scheduleWaitTimeout(WaitingCalls waiting, Call call) {
         double sinceMs = loop.nowMs();
-        call.waitUntil(loop.schedule(sinceMs + connectMs, () -> {
-            if (waiting.connectedMs >= sinceMs && call.waiting()) limitWait(waiting, call);
-            else call.failUnconnected();
+        call.setWaitTimeout(loop.schedule(sinceMs + connectTimeoutMs, () -> {
+            if (waiting.lastConnectedMs >= sinceMs && call.isWaitingForConnection()) scheduleWaitTimeout(waiting, call);
+            else call.failIfUnconnected();
         }));
     }
 
-    private boolean begin(InetSocketAddress to, Call call) {
-        PooledConnection ready = fresh(to);
-        if (ready != null) {
-            call.on(ready);
-        } else if (!mayConnect(to, call)) {
+    private boolean tryStart(InetSocketAddress address, Call call) {
+        PooledConnection reusable = takeIdle(address);
+        if (reusable != null) {
+            call.assignConnection(reusable);
+        } else if (!mayConnect(address, call)) {
             return false;
         } else {
-            connect(to, call);
+            connect(address, call);
         }
         return true;
     }
 
-    private boolean mayConnect(InetSocketAddress to, Call call) {
-        int mostInAll = call.isRelease() ? MAX_CONNECTING_FOR_RELEASES : MAX_CONNECTING_IN_ALL;
-        return connectingInAll < mostInAll && connecting.getOrDefault(to, 0) < MAX_CONNECTING && room();
+    private boolean mayConnect(InetSocketAddress address, Call call) {
+        int maxConnecting = call.isRelease() ? MAX_CONNECTING_TOTAL_FOR_RELEASES : MAX_CONNECTING_TOTAL;
+        return connectingTotal < maxConnecting
+                && connecting.getOrDefault(address, 0) < MAX_CONNECTING_PER_ADDRESS
+                && makeRoom();
     }
 
     /**
-     * Guards against a crowd that comes at once, as after a restart: told at once that it cannot connect, each of
-     * its requests would use up its attempts on engines that only wait for their connections to come up.
+     * Starts calls that wait for a connection to an address, as far as the limits allow. Calls wait at the limits
+     * rather than fail: when many requests arrive at once, as after a restart, each would use up its attempts on
+     * engines whose connections are only being established.
      */
-    private void next(InetSocketAddress to) {
-        if (!queued.containsKey(to)) return;
+    private void startWaitingCalls(InetSocketAddress address) {
+        if (!waitingByAddress.containsKey(address)) return;
         beforeUse.run();
-        WaitingCalls waitingCalls = queued.get(to);
+        WaitingCalls waitingCalls = waitingByAddress.get(address);
         if (waitingCalls == null) return;
         ArrayDeque<Call> waiting = waitingCalls.calls;
-        waiting.removeIf(Call::done);
+        waiting.removeIf(Call::isDone);
         while (!waiting.isEmpty()) {
             Call first = waiting.peekFirst();
-            if (first.wanted() && !begin(to, first)) break;
-            // Not simply the first: what is let go for one that nobody wants any more goes in front of all others.
+            if (first.isWanted() && !tryStart(address, first)) break;
+            // It need not be the first any more: the release for a call that is no longer wanted is queued in front.
             waiting.removeFirstOccurrence(first);
         }
-        if (waiting.isEmpty()) queued.remove(to, waitingCalls);
+        if (waiting.isEmpty()) waitingByAddress.remove(address, waitingCalls);
     }
 
-    /** The last one used that has been quiet since; a second answer right behind the first must not meet a request. */
-    private PooledConnection fresh(InetSocketAddress to) {
-        ArrayDeque<PooledConnection> kept = idle.get(to);
-        if (kept == null) return null;
-        for (Iterator<PooledConnection> last = kept.descendingIterator(); last.hasNext(); ) {
-            PooledConnection link = last.next();
-            double age = loop.nowMs() - link.idleSinceMs;
-            if (age < settleMs && link.open()) continue;
-            last.remove();
-            if (age < retireMs && link.quiet()) return link;
-            link.close();
+    /** The last used idle connection that has been quiet since: a request must not receive a surplus response. */
+    private PooledConnection takeIdle(InetSocketAddress address) {
+        ArrayDeque<PooledConnection> idleConnections = idle.get(address);
+        if (idleConnections == null) return null;
+        for (Iterator<PooledConnection> newestFirst = idleConnections.descendingIterator(); newestFirst.hasNext(); ) {
+            PooledConnection pooled = newestFirst.next();
+            double idleMs = loop.nowMs() - pooled.idleSinceMs;
+            if (idleMs < settleDelayMs && pooled.isOpen()) continue;
+            newestFirst.remove();
+            if (idleMs < maxIdleMs && pooled.checkQuiet()) return pooled;
+            pooled.close();
         }
         return null;
     }
 
-    /** Guards against more connections than the descriptors allow: the one idle for the longest makes room. */
-    private boolean room() {
-        if (links.size() + connectingInAll < most) return true;
+    /**
+     * Makes room for one more connection within the limit, which the file descriptors set, by closing the one that
+     * has been idle for longest; false if none is idle.
+     */
+    private boolean makeRoom() {
+        if (openConnections.size() + connectingTotal < maxConnections) return true;
         ArrayDeque<PooledConnection> oldest = idle.values().stream()
-                .filter(kept -> !kept.isEmpty())
-                .min(Comparator.comparingDouble(kept -> kept.peekFirst().idleSinceMs))
+                .filter(idleConnections -> !idleConnections.isEmpty())
+                .min(Comparator.comparingDouble(idleConnections -> idleConnections.peekFirst().idleSinceMs))
                 .orElse(null);
         if (oldest == null) return false;
         oldest.pollFirst().close();
         return true;
     }
 
-    /** Opens a connection for a call; one whose call has ended meanwhile is kept for the next. */
-    private void connect(InetSocketAddress to, Call call) {
-        LOG.debug("{}: connecting", to);
-        connecting.merge(to, 1, Integer::sum);
-        connectingInAll++;
+    /** Opens a connection for a call; if the call ends meanwhile, the connection is kept for the next one. */
+    private void connect(InetSocketAddress address, Call call) {
+        LOG.debug("{}: connecting", address);
+        connecting.merge(address, 1, Integer::sum);
+        connectingTotal++;
         metrics.count(EventCount.DIALS_BEGUN);
-        double begunMs = loop.nowMs();
-        IoFuture<StreamConnection> coming = loop.thread().openStreamConnection(to, null, OPTIONS);
-        EventLoop.Timer limit = loop.schedule(begunMs + connectMs, () -> {
+        double startedMs = loop.nowMs();
+        IoFuture<StreamConnection> pendingConnection = loop.thread().openStreamConnection(address, null, OPTIONS);
+        EventLoop.Timer timeoutTimer = loop.schedule(startedMs + connectTimeoutMs, () -> {
             metrics.count(EventCount.DIALS_GIVEN_UP);
-            call.failUnconnected();
-            coming.cancel(); // one that never comes up would hold a descriptor for minutes
+            call.failIfUnconnected();
+            pendingConnection.cancel(); // an unanswered connect would keep its descriptor for minutes
         });
-        coming.addNotifier(
+        pendingConnection.addNotifier(
                 (future, none) -> loop.execute(() -> {
-                    limit.cancel();
-                    connected(to, call, begunMs, future);
+                    timeoutTimer.cancel();
+                    onConnectEnded(address, call, startedMs, future);
                 }),
                 null);
     }
 
-    private void connected(
-            InetSocketAddress to, Call call, double begunMs, IoFuture<? extends StreamConnection> future) {
-        boolean wasFull = connectingInAll >= MAX_CONNECTING_IN_ALL;
-        connecting.computeIfPresent(to, (address, count) -> count > 1 ? count - 1 : null);
-        connectingInAll--;
+    private void onConnectEnded(
+            InetSocketAddress address, Call call, double startedMs, IoFuture<? extends StreamConnection> future) {
+        boolean wasAtLimit = connectingTotal >= MAX_CONNECTING_TOTAL;
+        connecting.computeIfPresent(address, (key, count) -> count > 1 ? count - 1 : null);
+        connectingTotal--;
         StreamConnection connection;
         try {
             connection = future.get();
         } catch (IOException | RuntimeException e) {
             LOG.debug(
-                    "{}: not connected: {}, {} open, {} on their way",
-                    to,
+                    "{}: connect failed: {}, {} open, {} pending",
+                    address,
                     e.getMessage(),
-                    links.size(),
-                    connectingInAll);
+                    openConnections.size(),
+                    connectingTotal);
             if (future.getStatus() == IoFuture.Status.FAILED) metrics.count(EventCount.DIALS_FAILED);
-            call.failUnconnected(); // refused, or cancelled: then it has failed already
-            beginWaiting(to, wasFull);
+            call.failIfUnconnected(); // refused; or cancelled, when it has failed already
+            startCallsAfterConnect(address, wasAtLimit);
             return;
         }
-        PooledConnection link = own(to, connection);
-        WaitingCalls waiting = queued.get(to);
-        if (waiting != null) waiting.connectedMs = loop.nowMs();
+        PooledConnection pooled = register(address, connection);
+        WaitingCalls waiting = waitingByAddress.get(address);
+        if (waiting != null) waiting.lastConnectedMs = loop.nowMs();
         beforeUse.run();
         metrics.count(EventCount.DIALS_UP);
-        metrics.dials().record(loop.nowMs() - begunMs);
-        if (call.wanted()) {
-            call.on(link);
+        metrics.dials().record(loop.nowMs() - startedMs);
+        if (call.isWanted()) {
+            call.assignConnection(pooled);
         } else {
             metrics.count(EventCount.DIALS_KEPT);
-            keep(link);
+            returnIdle(pooled);
         }
-        beginWaiting(to, wasFull);
+        startCallsAfterConnect(address, wasAtLimit);
     }
 
-    /** Begins the calls that wait there; if as many dials were on their way as may be, those that wait anywhere. */
-    private void beginWaiting(InetSocketAddress to, boolean wasFull) {
-        next(to);
-        if (wasFull) List.copyOf(queued.keySet()).forEach(this::next);
+    /**
+     * Starts the calls that wait for an address, or for any address if the total of pending connects was at its limit.
+     */
+    private void startCallsAfterConnect(InetSocketAddress address, boolean wasAtLimit) {
+        startWaitingCalls(address);
+        if (wasAtLimit) List.copyOf(waitingByAddress.keySet()).forEach(this::startWaitingCalls);
     }
 
-    private PooledConnection own(InetSocketAddress to, StreamConnection connection) {
-        PooledConnection link = new PooledConnection(++lastNumber, to, connection, loop.nowMs());
-        links.add(link);
+    private PooledConnection register(InetSocketAddress address, StreamConnection connection) {
+        PooledConnection pooled = new PooledConnection(++lastConnectionNumber, address, connection, loop.nowMs());
+        openConnections.add(pooled);
         connection.getCloseSetter().set(closed -> {
-            links.remove(link);
-            if (!queued.isEmpty())
-                loop.execute(() -> List.copyOf(queued.keySet()).forEach(this::next));
+            openConnections.remove(pooled);
+            if (!waitingByAddress.isEmpty())
+                loop.execute(() -> List.copyOf(waitingByAddress.keySet()).forEach(this::startWaitingCalls));
         });
-        return link;
+        return pooled;
     }
 
-    /** Goes on with an answer that has begun on a connection elsewhere; the connection is the pool's from now on. */
-    public Call adopt(InetSocketAddress to, StreamConnection connection, Reply reply) {
-        Call call = new Call(this, reply);
-        call.on(own(to, connection));
+    /** Continues a response that another process began to read; the pool owns the connection from now on. */
+    public Call adopt(InetSocketAddress address, StreamConnection connection, ResponseHandler handler) {
+        Call call = new Call(this, handler);
+        call.assignConnection(register(address, connection));
         return call;
     }
 
-    /** A connection that is somebody else's from now on. */
-    void forget(PooledConnection link) {
-        links.remove(link);
-        link.connection.getCloseSetter().set(null);
+    /** Removes a connection that the pool no longer owns. */
+    void unregister(PooledConnection pooled) {
+        openConnections.remove(pooled);
+        pooled.connection.getCloseSetter().set(null);
     }
 
-    void keep(PooledConnection link) {
-        link.idle(loop.nowMs());
-        idle.computeIfAbsent(link.to, t -> new ArrayDeque<>()).addLast(link);
-        if (queued.containsKey(link.to)) loop.schedule(loop.nowMs() + settleMs, () -> next(link.to));
-        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
-        sweeping = true;
+    void returnIdle(PooledConnection pooled) {
+        pooled.markIdle(loop.nowMs());
+        idle.computeIfAbsent(pooled.remoteAddress, t -> new ArrayDeque<>()).addLast(pooled);
+        if (waitingByAddress.containsKey(pooled.remoteAddress))
+            loop.schedule(loop.nowMs() + settleDelayMs, () -> startWaitingCalls(pooled.remoteAddress));
+        if (!sweepScheduled) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::closeExpired);
+        sweepScheduled = true;
     }
 
-    /** Guards against a write on a connection that its far side is about to close: that ends as a reset. */
-    private void sweep() {
-        for (ArrayDeque<PooledConnection> kept : idle.values()) {
-            kept.removeIf(link -> {
-                boolean old = !link.open() || loop.nowMs() - link.idleSinceMs >= retireMs;
-                if (old) link.close();
-                return old;
+    /**
+     * Closes connections that were idle for too long: a write on one that the server is about to close would end in a
+     * reset.
+     */
+    private void closeExpired() {
+        for (ArrayDeque<PooledConnection> idleConnections : idle.values()) {
+            idleConnections.removeIf(pooled -> {
+                boolean expired = !pooled.isOpen() || loop.nowMs() - pooled.idleSinceMs >= maxIdleMs;
+                if (expired) pooled.close();
+                return expired;
             });
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
-        List.copyOf(queued.keySet()).forEach(this::next);
-        sweeping = !idle.isEmpty();
-        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+        List.copyOf(waitingByAddress.keySet()).forEach(this::startWaitingCalls);
+        sweepScheduled = !idle.isEmpty();
+        if (sweepScheduled) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::closeExpired);
     }
 
-    /** When the connection there that is idle and was used last became so: an answer came then; long ago if there is none. */
-    double idleSinceMs(InetSocketAddress to) {
-        ArrayDeque<PooledConnection> kept = idle.get(to);
-        PooledConnection last = kept == null ? null : kept.peekLast();
-        return last != null && last.open() ? last.idleSinceMs : Double.NEGATIVE_INFINITY;
+    /**
+     * When the last used idle connection to an address became idle, which is when a response arrived; negative infinity
+     * if there is none.
+     */
+    double idleSinceMs(InetSocketAddress address) {
+        ArrayDeque<PooledConnection> idleConnections = idle.get(address);
+        PooledConnection last = idleConnections == null ? null : idleConnections.peekLast();
+        return last != null && last.isOpen() ? last.idleSinceMs : Double.NEGATIVE_INFINITY;
     }
 
-    /** Connections that are open or on their way. */
-    int open() {
-        return links.size() + connectingInAll;
+    /** The number of connections that are open or being established. */
+    int openOrConnecting() {
+        return openConnections.size() + connectingTotal;
     }
 
     XnioLoop loop() {
--- a/src/main/java/maplerail/net/PooledConnection.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -6,51 +6,51 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 
-/** An open connection of a {@link Pool}; one call has it at a time, or none. */
+/** An open connection of a {@link Pool}; at most one call uses it at a time. */
 final class PooledConnection {
-    final InetSocketAddress to;
+    final InetSocketAddress remoteAddress;
     final StreamConnection connection;
     final double openedMs;
-    /** When it last became idle, after an answer; before the first, when it was opened. */
+    /** When it last became idle, after a response; until then, when it was opened. */
     double idleSinceMs;
 
     private final long number;
-    private int uses;
+    private int useCount;
 
-    /** {@code number} names it in the log, together with its use. */
-    PooledConnection(long number, InetSocketAddress to, StreamConnection connection, double openedMs) {
+    /** Creates a pooled connection; {@code number} identifies it in the log, together with the number of the use. */
+    PooledConnection(long number, InetSocketAddress remoteAddress, StreamConnection connection, double openedMs) {
         this.number = number;
-        this.to = to;
+        this.remoteAddress = remoteAddress;
         this.connection = connection;
         this.openedMs = openedMs;
         this.idleSinceMs = openedMs;
     }
 
-    /** Its number and which use of it this is, for the log. */
-    String describe() {
-        return number + "/" + ++uses;
+    /** Counts a use and returns its label for the log: the connection's number and the number of the use. */
+    String labelNextUse() {
+        return number + "/" + ++useCount;
     }
 
-    boolean open() {
+    boolean isOpen() {
         return connection.isOpen();
     }
 
-    /** Ends it at once; the far side need not agree. */
+    /** Closes the connection at once, without waiting for the server. */
     void close() {
         IoUtils.safeClose(connection);
     }
 
-    /** Watches for what belongs to no call: bytes behind an answer, or the far side's end. Either ends it. */
-    void idle(double nowMs) {
+    /** Marks the connection as idle: from now on surplus bytes, or its end, make it close. */
+    void markIdle(double nowMs) {
         idleSinceMs = nowMs;
         connection.getSinkChannel().suspendWrites();
-        connection.getSourceChannel().setReadListener(c -> quiet());
+        connection.getSourceChannel().setReadListener(c -> checkQuiet());
         connection.getSourceChannel().resumeReads();
     }
 
-    /** True if nothing has come that belongs to no call; else it is ended. */
-    boolean quiet() {
-        if (!open()) return false;
+    /** True if no surplus bytes and no end of the connection have arrived; otherwise the connection is closed. */
+    boolean checkQuiet() {
+        if (!isOpen()) return false;
         try {
             if (connection.getSourceChannel().read(ByteBuffer.allocate(1)) == 0) return true;
         } catch (IOException e) {
--- a/src/main/java/maplerail/net/PlaceCall.java
+++ b/src/main/java/maplerail/net/ReservationCall.java
@@ -11,24 +11,24 @@
 import maplerail.core.EventLoop;
 import maplerail.core.ReservePlaceResult;
 
-/** One call that asks a writer to hold a place for a request. */
-final class PlaceCall implements Reply {
-    /** A writer answers after 300 ms at the latest where no read is in flight. */
-    private static final double ANSWER_MS = 450;
+/** One call that asks a writer to reserve a place for a request. */
+final class ReservationCall implements ResponseHandler {
+    /** A writer that finds no read in flight answers after at most 300 ms. */
+    private static final double TIMEOUT_MS = 450;
 
-    private static final int HELD_STATUS = 200;
+    private static final int RESERVED_STATUS = 200;
     private static final int NO_READ_STATUS = 204;
-    private static final int NOT_HELD_STATUS = 409;
+    private static final int NOT_RESERVED_STATUS = 409;
 
     private final Pool pool;
     private final InetSocketAddress writer;
     private final String requestId;
     private final Consumer<ReservePlaceResult> onAnswer;
     private Call call;
-    private EventLoop.Timer silence;
-    private boolean over;
+    private EventLoop.Timer timeoutTimer;
+    private boolean completed;
 
-    PlaceCall(Pool pool, InetSocketAddress writer, String requestId, Consumer<ReservePlaceResult> onAnswer) {
+    ReservationCall(Pool pool, InetSocketAddress writer, String requestId, Consumer<ReservePlaceResult> onAnswer) {
         this.pool = pool;
         this.writer = writer;
         this.requestId = requestId;
@@ -39,40 +39,40 @@
         ClientRequest request = HttpRequests.create(writer, Methods.POST, "/internal/reservations/" + requestId);
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
         call = pool.start(writer, request, new byte[0], this, connection);
-        silence = pool.loop().schedule(pool.loop().nowMs() + ANSWER_MS, this::onSilence);
+        timeoutTimer = pool.loop().schedule(pool.loop().nowMs() + TIMEOUT_MS, this::onTimeout);
     }
 
-    private void onSilence() {
+    private void onTimeout() {
         call.abort();
-        end(ReservePlaceResult.UNKNOWN);
+        complete(ReservePlaceResult.UNKNOWN);
     }
 
-    private void end(ReservePlaceResult answer) {
-        if (over) return;
-        over = true;
-        silence.cancel();
+    private void complete(ReservePlaceResult answer) {
+        if (completed) return;
+        completed = true;
+        timeoutTimer.cancel();
         onAnswer.accept(answer);
     }
 
     @Override
-    public void head(int status, HeaderMap headers) {
-        end(
+    public void onHead(int status, HeaderMap headers) {
+        complete(
                 switch (status) {
-                    case HELD_STATUS -> ReservePlaceResult.RESERVED;
-                    case NOT_HELD_STATUS -> ReservePlaceResult.NOT_RESERVED;
+                    case RESERVED_STATUS -> ReservePlaceResult.RESERVED;
+                    case NOT_RESERVED_STATUS -> ReservePlaceResult.NOT_RESERVED;
                     case NO_READ_STATUS -> ReservePlaceResult.NO_READ_IN_FLIGHT;
                     default -> ReservePlaceResult.UNKNOWN;
                 });
     }
 
     @Override
-    public void body(ByteBuffer piece) {}
+    public void onBody(ByteBuffer piece) {}
 
     @Override
-    public void end() {}
+    public void onComplete() {}
 
     @Override
-    public void failed(boolean neverSent) {
-        end(ReservePlaceResult.UNKNOWN);
+    public void onFailed(boolean neverSent) {
+        complete(ReservePlaceResult.UNKNOWN);
     }
 }
--- a/src/main/java/maplerail/net/SocketPollBarrier.java
+++ b/src/main/java/maplerail/net/SocketPollBarrier.java
@@ -10,9 +10,9 @@
 /**
  * Runs a task after a thread's selector has been polled and all that was ready then has been handled.
  *
- * <p>An XNIO thread runs all queued tasks and due timers, and those that they queue, before it polls its selector, so a task
- * that queues itself again is no way to wait for a poll. The end of a pipe that is never written to is always writable: once
- * writes are wanted of it, the next poll reports it together with all other sockets that are ready.
+ * <p>An XNIO thread runs all queued tasks and due timers, and those that they queue, before it polls its selector, so a
+ * task that queues itself again cannot wait for a poll. The end of a pipe that is never written to is always writable:
+ * once write events are enabled for it, the next poll reports it together with all other sockets that are ready.
  */
 final class SocketPollBarrier {
     private final XnioIoThread thread;
@@ -24,7 +24,7 @@
     /**
      * Creates a barrier; {@code onPolled} is run on the thread once for each {@link #arm}.
      *
-     * @throws IOException if the system gives no pipe
+     * @throws IOException if no pipe can be created
      */
     SocketPollBarrier(XnioIoThread thread, Runnable onPolled) throws IOException {
         this.thread = thread;
@@ -35,7 +35,7 @@
         sink.getWriteSetter().set(channel -> onWritable());
     }
 
-    /** Orders a run of the task after a poll that begins from now on. To be called on the thread. */
+    /** Schedules a run of the task after the next poll that begins. Must be called on the thread. */
     void arm() {
         if (armed) return;
         armed = true;
@@ -48,12 +48,12 @@
 
     private void onWritable() {
         sink.suspendWrites();
-        // The other sockets of this poll are handled before any task; the tasks that they queue are run before the
-        // second.
-        execute(() -> execute(this::run));
+        // The other sockets of this poll are handled before any task, and the tasks that they queue run before the
+        // inner one.
+        execute(() -> execute(this::onPollCompleted));
     }
 
-    private void run() {
+    private void onPollCompleted() {
         armed = false;
         onPolled.run();
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Gives the pipe back; the task is not run any more. */
+    /** Closes the pipe; the task does not run any more. */
     void close() {
         IoUtils.safeClose(sink);
         IoUtils.safeClose(source);
--- a/src/main/java/maplerail/net/StateRelease.java
+++ b/src/main/java/maplerail/net/StateRelease.java
@@ -17,117 +17,118 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One release of what engines hold for a request. It is repeated until its own engine has answered or its time is over: that
- * a call was written proves nothing, as its connection may have fallen silent. What its engine does not answer at once is
- * asked on a new connection, and of other engines too, two at a time, as any engine can release a state. Once one of those
- * has answered, only what its own engine leaves later is open: see {@link SilentHolders}.
+ * One release of the state that an engine holds for a request. It is repeated until that engine, the holder, has
+ * answered or its time is over: a call that was written proves nothing, as its connection may have failed without an
+ * error. If the holder does not answer at once, the release is also sent on a new connection, and to other engines, two
+ * at a time, as any engine can release a state. Once one of those has answered, the release is only repeated for state
+ * that the holder may create later: see {@link UnresponsiveHolders}.
  */
 final class StateRelease {
     private static final Logger LOG = LoggerFactory.getLogger(StateRelease.class);
-    private static final double RETRY_MS = 60; // after a call that failed, at first; doubled each time
-    private static final double MAX_RETRY_MS = 240;
-    private static final double SILENT_MS = 150; // after which a call without an answer is given up and made again
-    private static final double UNANSWERED_MS = 60; // after which others are asked too, a few at a time
-    private static final int OTHERS_AT_ONCE = 2;
+    private static final double FIRST_RETRY_DELAY_MS = 60; // after the first failed call; doubled each time
+    private static final double MAX_RETRY_DELAY_MS = 240;
+    private static final double CALL_TIMEOUT_MS = 150; // after which an unanswered call is aborted and repeated
+    private static final double FALLBACK_INTERVAL_MS = 60; // after which other engines are tried too, a few at a time
+    private static final int MAX_OTHERS_AT_ONCE = 2;
 
     private final Pool pool;
     private final EventLoop loop;
     private final Metrics metrics;
-    private final SilentHolders silentHolders;
+    private final UnresponsiveHolders unresponsiveHolders;
     private final InetSocketAddress holder;
-    private final List<InetSocketAddress> others;
-    private final ArrayDeque<InetSocketAddress> unasked = new ArrayDeque<>();
+    private final List<InetSocketAddress> otherEngines;
+    private final ArrayDeque<InetSocketAddress> untriedEngines = new ArrayDeque<>();
     private final String requestId;
-    private final Runnable onOver;
-    private final Set<ReleaseCall> open = new HashSet<>();
-    private ReleaseControl gate;
+    private final Runnable onEnd;
+    private final Set<ReleaseCall> openCalls = new HashSet<>();
+    private ReleaseControl control;
     private double untilMs;
-    private double retryMs = RETRY_MS;
+    private double retryDelayMs = FIRST_RETRY_DELAY_MS;
     private boolean retryPending;
-    private boolean askedAnew;
+    private boolean triedNewConnection;
     private boolean answered;
     private boolean holderAnswered;
     private boolean ended;
     private double startedMs;
-    private int calls;
+    private int callCount;
 
     /**
      * Creates a release; nothing is sent before {@link #start}.
      *
      * @param holder the engine that may hold the state
-     * @param others the engines that may be asked as well, in the order in which they are
+     * @param otherEngines other engines to send it to, in order of preference
      * @param untilMs the time until which it is repeated
-     * @param gate says whether it may be sent again; it goes on once it may
-     * @param onOver is run once, when it has been answered by its holder or its time is over
+     * @param control decides whether it may be sent again; while it may not, the release waits
+     * @param onEnd is run once, when its holder has answered or its time is over
      */
     StateRelease(
             Pool pool,
             Metrics metrics,
-            SilentHolders silentHolders,
+            UnresponsiveHolders unresponsiveHolders,
             InetSocketAddress holder,
-            List<InetSocketAddress> others,
+            List<InetSocketAddress> otherEngines,
             String requestId,
             double untilMs,
-            ReleaseControl gate,
-            Runnable onOver) {
+            ReleaseControl control,
+            Runnable onEnd) {
         this.pool = pool;
         this.loop = pool.loop();
         this.metrics = metrics;
-        this.silentHolders = silentHolders;
+        this.unresponsiveHolders = unresponsiveHolders;
         this.holder = holder;
-        this.others = others;
+        this.otherEngines = otherEngines;
         this.requestId = requestId;
         this.untilMs = untilMs;
-        this.gate = gate;
-        this.onOver = onOver;
+        this.control = control;
+        this.onEnd = onEnd;
     }
 
-    /** Makes the first call, on a new connection if the open ones are suspected of being silent. */
+    /** Starts the first call, on a new connection if the open ones may have failed without an error. */
     void start(ConnectionChoice connection) {
         metrics.count(EventCount.RELEASES);
         startedMs = loop.nowMs();
-        unasked.addAll(others);
-        loop.schedule(untilMs, this::checkEnd);
-        askedAnew = connection == ConnectionChoice.NEW;
-        call(holder, connection);
-        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        untriedEngines.addAll(otherEngines);
+        loop.schedule(untilMs, this::checkExpiry);
+        triedNewConnection = connection == ConnectionChoice.NEW;
+        startCall(holder, connection);
+        loop.schedule(loop.nowMs() + FALLBACK_INTERVAL_MS, this::tryFallbacks);
     }
 
-    /** The same release is wanted again, by a gate that takes the place of the one before: it is made once more at once. */
-    void renew(double newUntilMs, ReleaseControl newGate) {
-        ReleaseControl before = gate;
-        gate = newGate;
+    /** Sends the release again at once, under a control that replaces the previous one. */
+    void renew(double newUntilMs, ReleaseControl newControl) {
+        ReleaseControl previousControl = control;
+        control = newControl;
         answered = false;
         untilMs = Math.max(untilMs, newUntilMs);
-        if (!before.equals(newGate)) before.onEnded(false);
-        unasked.clear();
-        unasked.addAll(others);
-        call(holder, askedAnew ? ConnectionChoice.NEW : ConnectionChoice.ANY);
-        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        if (!previousControl.equals(newControl)) previousControl.onEnded(false);
+        untriedEngines.clear();
+        untriedEngines.addAll(otherEngines);
+        startCall(holder, triedNewConnection ? ConnectionChoice.NEW : ConnectionChoice.ANY);
+        loop.schedule(loop.nowMs() + FALLBACK_INTERVAL_MS, this::tryFallbacks);
     }
 
-    private void checkEnd() {
+    private void checkExpiry() {
         if (ended) return;
-        boolean goesOn = loop.nowMs() < untilMs || !answered && !gate.maySend();
-        if (goesOn) loop.schedule(Math.max(untilMs, loop.nowMs() + SILENT_MS), this::checkEnd);
+        boolean continues = loop.nowMs() < untilMs || !answered && !control.maySend();
+        if (continues) loop.schedule(Math.max(untilMs, loop.nowMs() + CALL_TIMEOUT_MS), this::checkExpiry);
         else end();
     }
 
     private void end() {
         if (ended) return;
         ended = true;
-        silentHolders.remove(holder, this);
-        onOver.run();
-        gate.onEnded(holderAnswered);
+        unresponsiveHolders.remove(holder, this);
+        onEnd.run();
+        control.onEnded(holderAnswered);
         if (answered) return;
         metrics.count(EventCount.RELEASES_UNANSWERED);
-        LOG.info("release unanswered request={} holder={} calls={}", requestId, holder, calls);
+        LOG.info("release unanswered request={} holder={} calls={}", requestId, holder, callCount);
     }
 
-    /** A release that took more than one call is one line of the log: who answered in the end, and when. */
-    private void logFirstAnswer(InetSocketAddress engine) {
+    /** Logs a release that took more than one call: which engine answered first, and when. */
+    private void logLateAnswer(InetSocketAddress engine) {
         double afterMs = loop.nowMs() - startedMs;
-        if (afterMs < SILENT_MS) return;
+        if (afterMs < CALL_TIMEOUT_MS) return;
         metrics.count(EventCount.RELEASES_ANSWERED_LATE);
         LOG.info(
                 "release answered late request={} holder={} by={} after_ms={} calls={}",
@@ -135,80 +136,82 @@
                 holder,
                 engine,
                 Math.round(afterMs),
-                calls);
+                callCount);
     }
 
-    /** Asks its own engine again after a while, once that harms nothing. */
-    private void retry() {
+    /** Calls the holder again after a delay, as soon as the release may be sent. */
+    private void scheduleRetry() {
         if (retryPending || ended) return;
         retryPending = true;
-        loop.schedule(loop.nowMs() + retryMs, () -> {
+        loop.schedule(loop.nowMs() + retryDelayMs, () -> {
             retryPending = false;
             if (ended) return;
             boolean urgent = !answered;
-            if (gate.maySend() && (urgent || silentHolders.mayTry(holder, this))) call(holder, ConnectionChoice.NEW);
-            else retry();
+            if (control.maySend() && (urgent || unresponsiveHolders.mayRetry(holder, this)))
+                startCall(holder, ConnectionChoice.NEW);
+            else scheduleRetry();
         });
-        retryMs = Math.min(MAX_RETRY_MS, 2 * retryMs);
+        retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * retryDelayMs);
     }
 
-    /** The holder has answered another release: it runs again. */
+    /** Called when the holder has answered another release, so that it is reachable again. */
     private void onHolderReachable() {
-        if (!ended && gate.maySend()) call(holder, ConnectionChoice.ANY);
+        if (!ended && control.maySend()) startCall(holder, ConnectionChoice.ANY);
     }
 
-    private void call(InetSocketAddress engine, ConnectionChoice connection) {
+    private void startCall(InetSocketAddress engine, ConnectionChoice connection) {
         if (ended) return;
         metrics.count(EventCount.RELEASE_CALLS);
-        calls++;
-        ReleaseCall made = new ReleaseCall(engine);
-        open.add(made);
-        made.start(connection);
+        callCount++;
+        ReleaseCall releaseCall = new ReleaseCall(engine);
+        openCalls.add(releaseCall);
+        releaseCall.start(connection);
     }
 
-    /** Asks on a new connection, and other engines, for as long as nobody has answered. */
-    private void askAnew() {
+    /** Tries a new connection to the holder, and other engines, for as long as no engine has answered. */
+    private void tryFallbacks() {
         if (answered || ended) return;
-        if (gate.maySend()) {
-            if (!askedAnew) call(holder, ConnectionChoice.NEW);
-            askedAnew = true;
-            askOthers();
+        if (control.maySend()) {
+            if (!triedNewConnection) startCall(holder, ConnectionChoice.NEW);
+            triedNewConnection = true;
+            tryOtherEngines();
         }
-        loop.schedule(loop.nowMs() + UNANSWERED_MS, this::askAnew);
+        loop.schedule(loop.nowMs() + FALLBACK_INTERVAL_MS, this::tryFallbacks);
     }
 
-    /** Each in turn; where all have failed, from the first again, but no more at once than a few. */
-    private void askOthers() {
-        if (unasked.isEmpty() && open.size() < OTHERS_AT_ONCE) unasked.addAll(others);
-        for (int i = 0; i < OTHERS_AT_ONCE && !unasked.isEmpty(); i++) call(unasked.poll(), ConnectionChoice.NEW);
+    /** Calls the other engines in turn, a few at a time; after the last, it starts over once few calls are open. */
+    private void tryOtherEngines() {
+        if (untriedEngines.isEmpty() && openCalls.size() < MAX_OTHERS_AT_ONCE) untriedEngines.addAll(otherEngines);
+        for (int i = 0; i < MAX_OTHERS_AT_ONCE && !untriedEngines.isEmpty(); i++)
+            startCall(untriedEngines.poll(), ConnectionChoice.NEW);
     }
 
-    /** A call could not be made or its connection broke: its engine is no use for now. */
-    private void onFailed(InetSocketAddress engine) {
-        if (engine.equals(holder)) retry();
-        if (!answered && !ended && gate.maySend()) askOthers();
+    /** Called when a call could not be sent or its connection broke: its engine is unavailable for now. */
+    private void onCallFailed(InetSocketAddress engine) {
+        if (engine.equals(holder)) scheduleRetry();
+        if (!answered && !ended && control.maySend()) tryOtherEngines();
     }
 
-    private void onAnswer(InetSocketAddress engine) {
+    private void onCallAnswered(InetSocketAddress engine) {
         boolean first = !answered;
         answered = true;
-        if (first) logFirstAnswer(engine);
+        if (first) logLateAnswer(engine);
         boolean byHolder = engine.equals(holder);
         if (byHolder) holderAnswered = true;
-        if (first) gate.onReleased();
+        if (first) control.onReleased();
         if (!byHolder) return;
-        gate.onHolderResponded();
-        List<StateRelease> waiting = silentHolders.onAnswered(holder);
+        control.onHolderResponded();
+        List<StateRelease> waiting = unresponsiveHolders.onAnswered(holder);
         end();
         waiting.forEach(StateRelease::onHolderReachable);
     }
 
-    /** One call at one engine. */
-    private final class ReleaseCall implements Reply {
+    /** One call to one engine. */
+    private final class ReleaseCall implements ResponseHandler {
         private final InetSocketAddress engine;
         private Call call;
-        private EventLoop.Timer silence;
-        private boolean over;
+        private EventLoop.Timer timeoutTimer;
+        private boolean finished;
 
         ReleaseCall(InetSocketAddress engine) {
             this.engine = engine;
@@ -217,47 +220,47 @@
         void start(ConnectionChoice connection) {
             var request = HttpRequests.create(engine, Methods.DELETE, "/internal/reservations/" + requestId);
             call = pool.start(engine, request, new byte[0], this, connection);
-            silence = loop.schedule(loop.nowMs() + SILENT_MS, this::onSilence);
+            timeoutTimer = loop.schedule(loop.nowMs() + CALL_TIMEOUT_MS, this::onTimeout);
         }
 
-        private void onSilence() {
-            if (over) return;
-            // One that still waits for a connection keeps its place; the pool says so when it has none in time.
-            if (call.unsent()) {
-                silence = loop.schedule(loop.nowMs() + SILENT_MS, this::onSilence);
+        private void onTimeout() {
+            if (finished) return;
+            // A call that still waits for a connection stays queued; the pool fails it if it gets none in time.
+            if (call.isUnsent()) {
+                timeoutTimer = loop.schedule(loop.nowMs() + CALL_TIMEOUT_MS, this::onTimeout);
                 return;
             }
             LOG.debug("release not answered request={} engine={}", requestId, engine);
             finish();
             call.abort();
-            // What else is open there may have fallen silent in the same moment.
+            // Other connections to this engine may have failed at the same time.
             pool.closeIdle(engine);
-            if (engine.equals(holder)) retry();
+            if (engine.equals(holder)) scheduleRetry();
         }
 
         private void finish() {
-            over = true;
-            open.remove(this);
-            if (silence != null) silence.cancel();
+            finished = true;
+            openCalls.remove(this);
+            if (timeoutTimer != null) timeoutTimer.cancel();
         }
 
         @Override
-        public void head(int status, HeaderMap headers) {
+        public void onHead(int status, HeaderMap headers) {
             finish();
-            onAnswer(engine);
+            onCallAnswered(engine);
         }
 
         @Override
-        public void body(ByteBuffer piece) {}
+        public void onBody(ByteBuffer piece) {}
 
         @Override
-        public void end() {}
+        public void onComplete() {}
 
         @Override
-        public void failed(boolean neverSent) {
+        public void onFailed(boolean neverSent) {
             finish();
             LOG.debug("release failed request={} engine={} never_sent={}", requestId, engine, neverSent);
-            onFailed(engine);
+            onCallFailed(engine);
         }
     }
 }
--- a/src/main/java/maplerail/net/TextResponseHandler.java
+++ b/src/main/java/maplerail/net/TextResponseHandler.java
@@ -5,50 +5,50 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A reply that is wanted whole, as text, once; what comes after its end is passed over. */
-public abstract class TextResponseHandler implements Reply {
-    private static final int MOST = 4 << 20;
+/** Collects a response as text and reports it once, when it is complete; anything after that is ignored. */
+public abstract class TextResponseHandler implements ResponseHandler {
+    private static final int MAX_BODY_BYTES = 4 << 20;
 
-    private final ByteArrayOutputStream text = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream();
     private int status;
     private HeaderMap headers;
-    private boolean over;
+    private boolean completed;
 
-    /** The whole answer; false if it is of no use, which then counts as none. */
-    protected abstract boolean handleResponse(int code, HeaderMap head, String body);
+    /** Handles the complete response; false if it is unusable, which then counts as no response. */
+    protected abstract boolean handleResponse(int status, HeaderMap headers, String body);
 
-    /** No answer came, or none of use. */
+    /** Called if there is no usable response. */
     protected abstract void onNoResponse();
 
-    /** Gives up a call that should have been answered by now. */
+    /** Aborts a call that was not answered in time. */
     public final void abortOnTimeout(Call call) {
-        if (over) return;
+        if (completed) return;
         call.abort();
-        failed(false);
+        onFailed(false);
     }
 
     @Override
-    public final void head(int code, HeaderMap head) {
+    public final void onHead(int code, HeaderMap head) {
         status = code;
         headers = head;
     }
 
     @Override
-    public final void body(ByteBuffer piece) {
-        while (piece.hasRemaining() && text.size() < MOST) text.write(piece.get());
+    public final void onBody(ByteBuffer piece) {
+        while (piece.hasRemaining() && bodyBytes.size() < MAX_BODY_BYTES) bodyBytes.write(piece.get());
     }
 
     @Override
-    public final void end() {
-        if (over) return;
-        over = true;
-        if (!handleResponse(status, headers, text.toString(StandardCharsets.UTF_8))) onNoResponse();
+    public final void onComplete() {
+        if (completed) return;
+        completed = true;
+        if (!handleResponse(status, headers, bodyBytes.toString(StandardCharsets.UTF_8))) onNoResponse();
     }
 
     @Override
-    public final void failed(boolean neverSent) {
-        if (over) return;
-        over = true;
+    public final void onFailed(boolean neverSent) {
+        if (completed) return;
+        completed = true;
         onNoResponse();
     }
 }
--- a/src/main/java/maplerail/net/TimerQueue.java
+++ b/src/main/java/maplerail/net/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.OptionalDouble;
 import java.util.TreeSet;
 
-/** The timers of an event loop, in the order of their times; those of one time in the order in which they were set. */
+/** The timers of an event loop, ordered by the time when they are due, then by the order in which they were added. */
 final class TimerQueue {
     private static final Comparator<Entry> ORDER =
             Comparator.<Entry>comparingDouble(entry -> entry.dueMs).thenComparingLong(entry -> entry.number);
@@ -50,7 +50,7 @@
         return entries.isEmpty() ? OptionalDouble.empty() : OptionalDouble.of(entries.first().dueMs);
     }
 
-    /** Takes out the first timer if it was due by {@code untilMs}; null if none was. */
+    /** Removes and returns the first timer if it was due by {@code untilMs}, otherwise null. */
     Entry pollDue(double untilMs) {
         if (entries.isEmpty() || entries.first().dueMs > untilMs) return null;
         return entries.pollFirst();
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -22,11 +22,12 @@
 import maplerail.core.ReleaseControl;
 import maplerail.routing.AttemptOutcome;
 
-/** Attempts at tool servers: one HTTP POST each, whose reply counts when it is whole. */
+/** Sends attempts to tool servers: one HTTP POST each, whose response counts once it is complete. */
 public final class ToolClient implements EngineTransport {
-    /** What a reply that its contract does not allow is answered with: the call has run. */
-    public static final String TOO_LARGE = "{\"error\":{\"code\":-32004,\"message\":\"the reply is larger than its"
-            + " contract allows\",\"data\":{\"outcome\":\"failed\",\"mayHaveRun\":true}}}";
+    /** Replaces a response that is larger than its contract allows; the call has run. */
+    public static final String TOO_LARGE_RESPONSE =
+            "{\"error\":{\"code\":-32004,\"message\":\"the reply is larger than its"
+                    + " contract allows\",\"data\":{\"outcome\":\"failed\",\"mayHaveRun\":true}}}";
 
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
@@ -35,130 +36,134 @@
     private final XnioLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
-    /** Makes a client that opens its connections from a pool. */
+    /** Creates a client that takes its connections from a pool. */
     public ToolClient(Pool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
 
-    /** Where a service's tool servers are: all of them, each time. */
-    public void setAddresses(Map<Long, InetSocketAddress> news) {
+    /** Replaces the addresses of all tool servers of the service. */
+    public void setAddresses(Map<Long, InetSocketAddress> newAddresses) {
         addresses.clear();
-        addresses.putAll(news);
+        addresses.putAll(newAddresses);
     }
 
     @Override
     public AttemptHandle send(
-            long engine, InferenceRequest ask, double untilMs, ConnectionChoice connection, AttemptObserver answer) {
-        ToolCallPayload cargo = (ToolCallPayload) ask.payload();
-        ClientRequest request = HttpRequests.create(addresses.get(engine), Methods.POST, cargo.path());
-        request.getRequestHeaders().put(ID, ask.id());
-        double left = Math.max(1, untilMs - loop.nowMs()) / 1_000;
-        request.getRequestHeaders().put(DEADLINE, String.format(Locale.ROOT, "%.3f", left));
-        request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        request.getRequestHeaders().put(Headers.ACCEPT, "application/json, text/event-stream");
-        request.getRequestHeaders().put(Headers.CONTENT_LENGTH, cargo.message().length);
-        Incoming incoming = new Incoming(answer, cargo.maxResponseBytes());
-        incoming.call = pool.start(addresses.get(engine), request, cargo.message(), incoming, connection);
-        return new EngineAttempt(incoming.call, () -> false);
+            long engine,
+            InferenceRequest inferenceRequest,
+            double deadlineMs,
+            ConnectionChoice connection,
+            AttemptObserver observer) {
+        ToolCallPayload payload = (ToolCallPayload) inferenceRequest.payload();
+        ClientRequest httpRequest = HttpRequests.create(addresses.get(engine), Methods.POST, payload.path());
+        httpRequest.getRequestHeaders().put(ID, inferenceRequest.id());
+        double remainingSeconds = Math.max(1, deadlineMs - loop.nowMs()) / 1_000;
+        httpRequest.getRequestHeaders().put(DEADLINE, String.format(Locale.ROOT, "%.3f", remainingSeconds));
+        httpRequest.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        httpRequest.getRequestHeaders().put(Headers.ACCEPT, "application/json, text/event-stream");
+        httpRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, payload.message().length);
+        ToolResponseHandler handler = new ToolResponseHandler(observer, payload.maxResponseBytes());
+        handler.call = pool.start(addresses.get(engine), httpRequest, payload.message(), handler, connection);
+        return new EngineAttempt(handler.call, () -> false);
     }
 
-    private static final class Incoming implements Reply {
-        private final AttemptObserver answer;
-        private final int most;
-        private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-        private AttemptOutcome meaning;
+    private static final class ToolResponseHandler implements ResponseHandler {
+        private final AttemptObserver observer;
+        private final int maxBytes;
+        private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream();
+        private AttemptOutcome outcome;
         private boolean framed;
-        private boolean unfit;
-        private boolean streams;
-        private final EventSplitter events = new EventSplitter();
+        private boolean invalidRequest;
+        private boolean streaming;
+        private final EventSplitter eventSplitter = new EventSplitter();
         private Call call;
 
-        Incoming(AttemptObserver answer, int most) {
-            this.answer = answer;
-            this.most = most;
+        ToolResponseHandler(AttemptObserver observer, int maxBytes) {
+            this.observer = observer;
+            this.maxBytes = maxBytes;
         }
 
         @Override
-        public boolean wanted() {
-            return answer.isNeeded();
+        public boolean isWanted() {
+            return observer.isNeeded();
         }
 
         @Override
-        public void written() {
-            answer.onSent();
+        public void onWritten() {
+            observer.onSent();
         }
 
         @Override
-        public void head(int status, HeaderMap headers) {
-            // A tool server has no state to hand over: 202 is no answer that a call could end with.
-            meaning = status == 202 ? AttemptOutcome.ERROR : Outcomes.of(status, headers);
-            unfit = Outcomes.unfit(status);
+        public void onHead(int status, HeaderMap headers) {
+            // A tool server has no state to hand over, so 202 is not a valid response to a call.
+            outcome = status == 202 ? AttemptOutcome.ERROR : AttemptOutcomes.of(status, headers);
+            invalidRequest = AttemptOutcomes.isInvalidRequest(status);
             String type = headers.getFirst(Headers.CONTENT_TYPE);
-            streams = type != null && type.startsWith("text/event-stream");
+            streaming = type != null && type.startsWith("text/event-stream");
             framed = headers.contains(Headers.TRANSFER_ENCODING) || headers.contains(Headers.CONTENT_LENGTH);
         }
 
         @Override
-        public void body(ByteBuffer piece) {
-            if (meaning != AttemptOutcome.COMPLETED) return;
-            if (streams) {
-                if (!events.feed(
-                        piece, whole -> EventSplitter.extractData(whole).forEach(this::message))) framed = false;
+        public void onBody(ByteBuffer piece) {
+            if (outcome != AttemptOutcome.COMPLETED) return;
+            if (streaming) {
+                if (!eventSplitter.feed(
+                        piece, events -> EventSplitter.extractData(events).forEach(this::onMessage))) framed = false;
                 return;
             }
-            if (text.size() + piece.remaining() > most) {
-                tooLarge();
+            if (bodyBytes.size() + piece.remaining() > maxBytes) {
+                completeAsTooLarge();
                 return;
             }
-            while (piece.hasRemaining()) text.write(piece.get());
+            while (piece.hasRemaining()) bodyBytes.write(piece.get());
         }
 
-        /** A message of a reply that comes as events: progress, or in the end the answer. */
-        private void message(String data) {
+        /** Handles a message of a streaming response: a notification such as progress, or the final response. */
+        private void onMessage(String data) {
             byte[] text = data.getBytes(StandardCharsets.UTF_8);
-            if (call.done()) return;
-            if (text.length > most) {
-                tooLarge();
+            if (call.isDone()) return;
+            if (text.length > maxBytes) {
+                completeAsTooLarge();
                 return;
             }
-            answer.onEvent(text);
+            observer.onEvent(text);
             Map<String, String> fields = Json.fields(data);
             if (fields == null || fields.containsKey("method")) return;
-            // Guards against a server that leaves its stream open behind the answer: the call would stay open with it.
+            // A server may leave its stream open after the final response; the call must not stay open with it.
             call.abort();
-            answer.onEnded(AttemptOutcome.COMPLETED, 0);
+            observer.onEnded(AttemptOutcome.COMPLETED, 0);
         }
 
-        private void tooLarge() {
+        private void completeAsTooLarge() {
             call.abort();
-            answer.onEvent(TOO_LARGE.getBytes(StandardCharsets.UTF_8));
-            answer.onEnded(AttemptOutcome.COMPLETED, 0);
+            observer.onEvent(TOO_LARGE_RESPONSE.getBytes(StandardCharsets.UTF_8));
+            observer.onEnded(AttemptOutcome.COMPLETED, 0);
         }
 
         @Override
-        public void end() {
-            if (unfit) {
-                // Guards against a server held to be failing, and ejected, for one caller's wrong calls.
-                answer.onInvalidRequest();
+        public void onComplete() {
+            if (invalidRequest) {
+                // Otherwise a server would count as failing, and be ejected, for one client's invalid calls.
+                observer.onInvalidRequest();
                 return;
             }
-            boolean whole = meaning == AttemptOutcome.COMPLETED && framed;
-            if (whole && !streams) answer.onEvent(text.toByteArray());
-            answer.onEnded(meaning == AttemptOutcome.COMPLETED && !whole ? AttemptOutcome.RESET : meaning, 0);
+            boolean complete = outcome == AttemptOutcome.COMPLETED && framed;
+            if (complete && !streaming) observer.onEvent(bodyBytes.toByteArray());
+            observer.onEnded(outcome == AttemptOutcome.COMPLETED && !complete ? AttemptOutcome.RESET : outcome, 0);
         }
 
         @Override
-        public void failed(boolean neverSent) {
-            answer.onEnded(Outcomes.broken(meaning, neverSent), 0);
+        public void onFailed(boolean neverSent) {
+            observer.onEnded(AttemptOutcomes.ofIncomplete(outcome, neverSent), 0);
         }
     }
 
-    /** Only asked for reads, of which tool servers have none. */
+    /** Only used for reads, which tool servers don't do. */
     @Override
     public void closeIdleConnections(long engine) {}
 
-    /** Tool servers hold nothing for a request that has ended. */
+    /** Tool servers hold no state for a request that has ended. */
     @Override
-    public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {}
+    public void release(long engine, Set<Long> others, String requestId, double untilMs, ReleaseControl control) {}
 }
--- a/src/main/java/maplerail/net/XnioLoop.java
+++ b/src/main/java/maplerail/net/XnioLoop.java
@@ -13,15 +13,16 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The broker's loop on an XNIO thread: everything that it owns runs there and needs no locks.
+ * The broker's event loop on an XNIO thread: all of the broker's code runs there and needs no locks.
  *
- * <p>It has timers of its own. The thread's timers run before its sockets are polled, so that of a late loop they would take
- * what has arrived for lost. Here a timer that is due only orders a poll, and those that were due when the poll began run
- * after it. Between polls timers run for a limited time, so that many of them do not keep the thread from its sockets.
+ * <p>It has its own timers. XNIO runs a thread's timers before it polls the sockets, so on a loop that is late a
+ * timeout would fire although the response has arrived. Here a timer that is due only requests a poll, and those that
+ * were due when the poll was requested run after it. Between polls timers run for a limited time, so that many of them
+ * do not starve the sockets.
  */
 public final class XnioLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
-    private static final double TIMERS_BETWEEN_POLLS_MS = 10;
+    private static final double MAX_TIMER_RUN_MS = 10;
 
     private final XnioIoThread thread;
     private final long startNanos = System.nanoTime();
@@ -31,29 +32,29 @@
     private final SocketPollBarrier barrier;
     private XnioExecutor.Key wakeUp;
     private double wakeUpMs = Double.POSITIVE_INFINITY;
-    private double pollOrderedMs;
+    private double pollRequestedMs;
 
     /**
-     * Makes the loop of a thread.
+     * Creates the event loop of a thread.
      *
-     * @throws UncheckedIOException if the system gives no pipe
+     * @throws UncheckedIOException if no pipe can be created
      */
     public XnioLoop(XnioIoThread thread) {
         this(thread, new Metrics());
     }
 
-    /** The same, with its turns and the delays of its timers counted. */
+    /** Creates the event loop of a thread and records its turns and the delays of its timers. */
     public XnioLoop(XnioIoThread thread, Metrics metrics) {
         this.thread = thread;
         this.metrics = metrics;
         try {
             barrier = new SocketPollBarrier(thread, this::onPolled);
         } catch (IOException e) {
-            throw new UncheckedIOException("no pipe for the event loop", e);
+            throw new UncheckedIOException("cannot create a pipe for the event loop", e);
         }
     }
 
-    /** The thread. */
+    /** The thread that the loop runs on. */
     public XnioIoThread thread() {
         return thread;
     }
@@ -63,7 +64,7 @@
         return startMs + (System.nanoTime() - startNanos) / 1e6;
     }
 
-    /** As the interface says; may be called from any thread. */
+    /** May be called from any thread. */
     @Override
     public Timer schedule(double whenMs, Runnable task) {
         if (Thread.currentThread() != thread) {
@@ -101,13 +102,13 @@
         }
     }
 
-    /** Orders a poll if a timer is due, else a wake-up for the first that will be. */
+    /** Requests a poll if a timer is due, otherwise schedules a wake-up for the first one. */
     private void scheduleNext() {
         OptionalDouble firstMs = timers.firstDueMs();
         if (firstMs.isEmpty() || barrier.isArmed()) return;
         double nowMs = nowMs();
         if (firstMs.getAsDouble() <= nowMs) {
-            pollOrderedMs = nowMs;
+            pollRequestedMs = nowMs;
             barrier.arm();
         } else if (firstMs.getAsDouble() < wakeUpMs) {
             wakeUpAt(firstMs.getAsDouble(), nowMs);
@@ -117,11 +118,11 @@
     private void wakeUpAt(double whenMs, double nowMs) {
         if (wakeUp != null) wakeUp.remove();
         wakeUpMs = whenMs;
-        long millis = (long) Math.ceil(whenMs - nowMs); // the thread cuts off parts of one
+        long millis = (long) Math.ceil(whenMs - nowMs); // the thread drops fractions
         try {
             wakeUp = thread.executeAfter(this::onWakeUp, millis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            barrier.close(); // the thread is stopping: nothing is to happen any more
+            barrier.close(); // the thread is stopping: no timer runs any more
         }
     }
 
@@ -132,10 +133,10 @@
     }
 
     private void onPolled() {
-        double dueMs = pollOrderedMs;
+        double dueMs = pollRequestedMs;
         double polledMs = nowMs();
-        metrics.loopTurns().record(polledMs - pollOrderedMs);
-        double untilMs = polledMs + TIMERS_BETWEEN_POLLS_MS;
+        metrics.loopTurns().record(polledMs - pollRequestedMs);
+        double untilMs = polledMs + MAX_TIMER_RUN_MS;
         do {
             TimerQueue.Entry next = timers.pollDue(dueMs);
             if (next == null) break;
@@ -149,16 +150,16 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a timer failed", e);
+            LOG.error("timer task failed", e);
         }
     }
 
-    /** Ends the loop's timers for good, so that its thread can stop; to be called on the thread. */
+    /** Stops all timers, so that the thread can end. Must be called on the thread. */
     public void close() {
         barrier.close();
     }
 
-    /** Runs a task soon, from any thread; not at all once the thread is stopping. */
+    /** Queues a task, from any thread; it is dropped if the thread is stopping. */
     public void execute(Runnable task) {
         try {
             thread.execute(task);
--- a/src/main/java/maplerail/rpc/BatchResponse.java
+++ b/src/main/java/maplerail/rpc/BatchResponse.java
@@ -4,38 +4,39 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Gathers the answers to a batch, which go out together as one array, in whatever order they came. */
+/** Collects the responses to a JSON-RPC batch and sends them as one array, in the order in which they were added. */
 public final class BatchResponse {
-    private final Consumer<String> whole;
-    private final List<String> answers = new ArrayList<>();
-    private int owed;
+    private final Consumer<String> onComplete;
+    private final List<String> responses = new ArrayList<>();
+    private int expected;
     private boolean sealed;
 
-    /** A batch whose array goes to {@code whole}, once. */
-    public BatchResponse(Consumer<String> whole) {
-        this.whole = whole;
+    /** Creates the response to a batch; its array is passed to {@code onComplete}, once. */
+    public BatchResponse(Consumer<String> onComplete) {
+        this.onComplete = onComplete;
     }
 
-    /** Some more answers will come, or have come already. */
-    public void expectResponses(int more) {
+    /** Raises the number of expected responses; some of them may have been added already. */
+    public void expectResponses(int count) {
         if (sealed) throw new IllegalStateException("sealed");
-        owed += more;
+        expected += count;
     }
 
-    /** One of them has come. */
-    public void addResponse(String text) {
-        answers.add(text);
-        tell();
+    /** Adds one of the expected responses. */
+    public void addResponse(String response) {
+        responses.add(response);
+        sendIfComplete();
     }
 
-    /** All messages have been heard; how many answers the batch itself brings: none, or one. */
+    /** Called after the last message of the batch; returns the number of responses that the batch has, 0 or 1. */
     public int seal() {
         sealed = true;
-        tell();
-        return owed > 0 ? 1 : 0;
+        sendIfComplete();
+        return expected > 0 ? 1 : 0;
     }
 
-    private void tell() {
-        if (sealed && owed > 0 && answers.size() == owed) whole.accept("[" + String.join(",", answers) + "]");
+    private void sendIfComplete() {
+        if (sealed && expected > 0 && responses.size() == expected)
+            onComplete.accept("[" + String.join(",", responses) + "]");
     }
 }
--- a/src/main/java/maplerail/rpc/ProgressTracker.java
+++ b/src/main/java/maplerail/rpc/ProgressTracker.java
@@ -1,36 +1,42 @@
 package maplerail.rpc;
 
 /**
- * How far a call has come, as its server tells it: what may be passed on, and until when it may go on. Progress moves
- * forward only, comes under the call's own token and never after its end; each step gives the server as long again as its
- * contract allows for an answer, up to the contract's most.
+ * Tracks the progress that a server reports for a call: which notifications may be forwarded, and how long the call may
+ * take. Progress only increases, carries the call's own token and is not valid after the call has ended. Each
+ * notification restarts the time that the contract allows for a response, up to the contract's maximum duration.
  */
 public final class ProgressTracker {
     private final String token;
-    private final double mostUntilMs;
-    private double last = Double.NEGATIVE_INFINITY;
-    private boolean over;
+    private final double latestEndMs;
+    private double lastValue = Double.NEGATIVE_INFINITY;
+    private boolean completed;
 
-    /** A call that was taken at a time and may go on for so long in all; {@code token} is what its server was given. */
-    public ProgressTracker(String token, double takenMs, double mostMs) {
+    /**
+     * Creates the tracker of a call.
+     *
+     * @param token the progress token that was sent to the server
+     * @param startedMs when the call was accepted
+     * @param maxDurationMs how long the call may take in total
+     */
+    public ProgressTracker(String token, double startedMs, double maxDurationMs) {
         this.token = token;
-        this.mostUntilMs = takenMs + mostMs;
+        this.latestEndMs = startedMs + maxDurationMs;
     }
 
-    /** Whether a step is to be passed on; a token or figure that is none is not. */
-    public boolean accept(String told, double figure) {
-        if (over || !token.equals(told) || !(figure > last) || Double.isInfinite(figure)) return false;
-        last = figure;
+    /** True if a notification may be forwarded: its token and value are valid, and the value has increased. */
+    public boolean accept(String receivedToken, double value) {
+        if (completed || !token.equals(receivedToken) || !(value > lastValue) || Double.isInfinite(value)) return false;
+        lastValue = value;
         return true;
     }
 
-    /** How much longer it may go on, whatever its server tells; never less than 0. */
+    /** How much longer the call may take, whatever progress is reported; at least 0. */
     public double remainingMs(double nowMs) {
-        return Math.max(0, mostUntilMs - nowMs);
+        return Math.max(0, latestEndMs - nowMs);
     }
 
-    /** The final answer was given. */
+    /** Called when the final response was sent. */
     public void complete() {
-        over = true;
+        completed = true;
     }
 }
--- a/src/main/java/maplerail/rpc/ReplayBuffer.java
+++ b/src/main/java/maplerail/rpc/ReplayBuffer.java
@@ -4,64 +4,64 @@
 import java.util.List;
 
 /**
- * The last messages of one stream, numbered from 1, for a client that lost its connection and comes again: each is
- * told once and in order, or it is said plainly that some are gone. Bounded by count and by size.
+ * Buffers the last messages of one stream, numbered from 1, for a client that reconnects: it receives each message once
+ * and in order, or an explicit error if some have been dropped. Bounded by count and by size.
  */
 public final class ReplayBuffer {
-    private final int mostMessages;
-    private final int mostChars;
+    private final int maxMessages;
+    private final int maxChars;
     private final Budget budget;
-    private final ArrayDeque<Message> kept = new ArrayDeque<>();
+    private final ArrayDeque<Message> buffered = new ArrayDeque<>();
     private long lastNumber;
     private int bufferedChars;
 
     /** A message and its number. */
     public record Message(long number, String text) {}
 
-    /** What all streams of a front may keep together, in characters. */
+    /** Limits what all streams of a front may buffer together, in characters. */
     public static final class Budget {
-        private final int mostChars;
+        private final int maxChars;
         private int usedChars;
 
-        /** A budget of so many. */
-        public Budget(int mostChars) {
-            this.mostChars = mostChars;
+        /** Creates a budget of {@code maxChars} characters. */
+        public Budget(int maxChars) {
+            this.maxChars = maxChars;
         }
 
-        /** What is kept now. */
+        /** The number of characters buffered now. */
         public int usedChars() {
             return usedChars;
         }
     }
 
-    /** Keeps at most so many messages and characters, and less while the budget is spent; the newest always. */
-    public ReplayBuffer(int mostMessages, int mostChars, Budget budget) {
-        this.mostMessages = mostMessages;
-        this.mostChars = mostChars;
+    /** Creates a buffer with these limits, and less while the budget is used up; the newest message is always kept. */
+    public ReplayBuffer(int maxMessages, int maxChars, Budget budget) {
+        this.maxMessages = maxMessages;
+        this.maxChars = maxChars;
         this.budget = budget;
     }
 
-    /** Keeps a message, and lets go of the oldest for it where there is no room. */
+    /** Buffers a message, and drops the oldest ones as far as the limits require. */
     public Message add(String text) {
         Message message = new Message(++lastNumber, text);
-        kept.addLast(message);
-        count(text.length());
-        while (kept.size() > 1
-                && (kept.size() > mostMessages || bufferedChars > mostChars || budget.usedChars > budget.mostChars)) {
-            count(-kept.pollFirst().text().length());
+        buffered.addLast(message);
+        addChars(text.length());
+        while (buffered.size() > 1
+                && (buffered.size() > maxMessages || bufferedChars > maxChars || budget.usedChars > budget.maxChars)) {
+            addChars(-buffered.pollFirst().text().length());
         }
         return message;
     }
 
-    private void count(int more) {
-        bufferedChars += more;
-        budget.usedChars += more;
+    private void addChars(int delta) {
+        bufferedChars += delta;
+        budget.usedChars += delta;
     }
 
-    /** Lets go of everything: the stream's client will not come again. */
+    /** Drops all messages: the client will not reconnect. */
     public void clear() {
-        kept.clear();
-        count(-bufferedChars);
+        buffered.clear();
+        addChars(-bufferedChars);
     }
 
     /** The number of the newest message; 0 before the first. */
@@ -70,17 +70,17 @@
     }
 
     /**
-     * What a client has missed that has seen everything up to a number; null if some of it is no longer kept, or if
-     * the number was never given.
+     * The messages after the last one that a client has seen; null if some of them were dropped, or if no message with
+     * that number was ever added.
      */
-    public List<Message> messagesAfter(long seen) {
-        if (seen < 0 || seen > lastNumber) return null;
-        long oldest = kept.isEmpty() ? lastNumber + 1 : kept.peekFirst().number();
-        if (seen + 1 < oldest) return null;
-        return kept.stream().filter(message -> message.number() > seen).toList();
+    public List<Message> messagesAfter(long lastSeen) {
+        if (lastSeen < 0 || lastSeen > lastNumber) return null;
+        long oldest = buffered.isEmpty() ? lastNumber + 1 : buffered.peekFirst().number();
+        if (lastSeen + 1 < oldest) return null;
+        return buffered.stream().filter(message -> message.number() > lastSeen).toList();
     }
 
-    /** Characters kept. */
+    /** The number of characters buffered for this stream. */
     public int bufferedChars() {
         return bufferedChars;
     }
--- a/src/main/java/maplerail/rpc/SessionState.java
+++ b/src/main/java/maplerail/rpc/SessionState.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The life of a session: which request may come when, and which version of the protocol is spoken. It does no I/O;
- * whatever carries the session drives it by what it hears.
+ * The state machine of a session: which requests are allowed in which phase, and which version of the protocol is used.
+ * It does no I/O; the transport calls it for the messages that it receives.
  */
 public final class SessionState {
-    /** The versions that are spoken, newest first. */
+    /** The supported protocol versions, newest first. */
     public static final List<String> SUPPORTED_VERSIONS = List.of("2025-06-18", "2025-03-26", "2024-11-05");
 
-    /** Where a session stands. */
+    /** The phases of a session. */
     public enum Phase {
         NEW,
         NEGOTIATED,
@@ -19,7 +19,7 @@
         CLOSED
     }
 
-    /** What becomes of a request. */
+    /** What to do with a request. */
     public enum Decision {
         TAKE,
         TOO_EARLY,
@@ -28,26 +28,26 @@
         CLOSED
     }
 
-    private final boolean handshake;
+    private final boolean handshakeRequired;
     private Phase phase = Phase.NEW;
     private String version = "";
 
-    /** A session that has begun; {@code handshake} tells that nothing may be asked before it was initialized. */
-    public SessionState(boolean handshake) {
-        this.handshake = handshake;
+    /** Creates the state of a new session; {@code handshakeRequired}: requests are rejected until it is initialized. */
+    public SessionState(boolean handshakeRequired) {
+        this.handshakeRequired = handshakeRequired;
     }
 
-    /** Where it stands. */
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** The version that was agreed on; empty before. */
+    /** The negotiated version; empty before. */
     public String version() {
         return version;
     }
 
-    /** Whether a request may be taken now. */
+    /** Whether a request is accepted now, and if not, why. */
     public Decision decide(String method) {
         if (phase == Phase.CLOSED) return Decision.CLOSED;
         if (method.equals("ping")) return Decision.TAKE;
@@ -55,34 +55,34 @@
             return phase == Phase.NEW ? Decision.TAKE : phase == Phase.DRAINING ? Decision.DRAINING : Decision.TWICE;
         }
         return switch (phase) {
-            case NEW -> handshake ? Decision.TOO_EARLY : Decision.TAKE;
+            case NEW -> handshakeRequired ? Decision.TOO_EARLY : Decision.TAKE;
             case NEGOTIATED -> Decision.TOO_EARLY;
             case DRAINING -> Decision.DRAINING;
             default -> Decision.TAKE;
         };
     }
 
-    /** Agrees on the version that the client asked for, or else on the newest that is spoken here. */
-    public String initialize(String asked) {
+    /** Negotiates the version: the requested one if it is supported, otherwise the newest. */
+    public String initialize(String requestedVersion) {
         if (phase != Phase.NEW) throw new IllegalStateException("initialize in " + phase);
         phase = Phase.NEGOTIATED;
-        version = SUPPORTED_VERSIONS.contains(asked) ? asked : SUPPORTED_VERSIONS.get(0);
+        version = SUPPORTED_VERSIONS.contains(requestedVersion) ? requestedVersion : SUPPORTED_VERSIONS.get(0);
         return version;
     }
 
-    /** The client has heard the answer; false if it was not its time to say so, which changes nothing. */
+    /** Handles the client's {@code initialized} notification; false, without effect, if it is not expected now. */
     public boolean onInitialized() {
         if (phase != Phase.NEGOTIATED) return false;
         phase = Phase.READY;
         return true;
     }
 
-    /** Nothing new is taken; what was taken is finished. */
+    /** Stops accepting new requests; those accepted before are completed. */
     public void drain() {
         if (phase != Phase.CLOSED) phase = Phase.DRAINING;
     }
 
-    /** Nothing is taken or answered any more. */
+    /** Closes the session: no request is accepted or answered any more. */
     public void close() {
         phase = Phase.CLOSED;
     }
--- a/src/main/java/maplerail/rpc/package-info.java
+++ b/src/main/java/maplerail/rpc/package-info.java
@@ -1,2 +1,2 @@
-/** What a JSON-RPC session decides, whatever carries it. Nothing here does I/O. */
+/** The logic of JSON-RPC sessions, independent of the transport. Nothing here does I/O. */
 package maplerail.rpc;
--- a/src/test/java/maplerail/net/PoolTest.java
+++ b/src/test/java/maplerail/net/PoolTest.java
@@ -37,7 +37,7 @@
 import org.xnio.XnioWorker;
 
 class PoolTest {
-    private static final ReleaseControl ALWAYS = new ReleaseControl() {
+    private static final ReleaseControl ALWAYS_ALLOWED = new ReleaseControl() {
         @Override
         public boolean maySend() {
             return true;
@@ -49,12 +49,12 @@
         }
     };
 
-    /** For tests that post until a connection has settled: a quick machine opens many until then, and a full pool ends them. */
-    private static final int ROOMY = 10_000;
+    /** For tests that post until a connection is reused: a fast machine opens many before; calls fail at the limit. */
+    private static final int LARGE_POOL = 10_000;
 
     private final XnioWorker worker;
     private final XnioLoop loop;
-    private final BlockingQueue<String> heard = World.queue();
+    private final BlockingQueue<String> results = World.queue();
 
     PoolTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -71,60 +71,63 @@
         return pool(connIdleMs, 50);
     }
 
-    private Pool pool(double connIdleMs, int most) {
-        return new Pool(loop, new DefaultByteBufferPool(true, 8_192), connIdleMs, 250, most);
+    private Pool pool(double connIdleMs, int maxConnections) {
+        return new Pool(loop, new DefaultByteBufferPool(true, 8_192), connIdleMs, 250, maxConnections);
     }
 
     private String post(Pool pool, InetSocketAddress to) throws Exception {
-        loop.execute(() -> pool.start(to, request(to), "{}".getBytes(), new Heard(heard)));
-        return take(heard);
+        loop.execute(() -> pool.start(to, request(to), "{}".getBytes(), new RecordingHandler(results)));
+        return take(results);
     }
 
-    /** A call that waited for its connection, and whose caller has left when that comes up, is not written. */
+    /** A call whose client disconnects while it waits for its connection is not written. */
     @Test
-    void whatNobodyWantsAnyMoreIsNotWritten() throws Exception {
+    void aCallCancelledWhileConnectingIsNotWritten() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             Pool pool = pool(30_000);
-            BlockingQueue<String> asked = World.queue();
+            BlockingQueue<String> checked = World.queue();
             loop.execute(() -> {
                 Call[] unwanted = new Call[1];
                 unwanted[0] = pool.start(
-                        server.socketAddress(), request(server.socketAddress()), "{}".getBytes(), new Heard(heard) {
+                        server.socketAddress(),
+                        request(server.socketAddress()),
+                        "{}".getBytes(),
+                        new RecordingHandler(results) {
                             @Override
-                            public boolean wanted() {
-                                asked.add("asked");
+                            public boolean isWanted() {
+                                checked.add("checked");
                                 unwanted[0].abort();
                                 return false;
                             }
                         });
             });
-            take(asked);
+            take(checked);
             assertThat(post(pool, server.socketAddress())).isEqualTo("end");
             assertThat(server.count("POST")).isEqualTo(1);
         }
     }
 
-    private static class Heard implements Reply {
-        private final BlockingQueue<String> by;
+    private static class RecordingHandler implements ResponseHandler {
+        private final BlockingQueue<String> endings;
 
-        Heard(BlockingQueue<String> by) {
-            this.by = by;
+        RecordingHandler(BlockingQueue<String> endings) {
+            this.endings = endings;
         }
 
         @Override
-        public void head(int status, HeaderMap headers) {}
+        public void onHead(int status, HeaderMap headers) {}
 
         @Override
-        public void body(ByteBuffer piece) {}
+        public void onBody(ByteBuffer piece) {}
 
         @Override
-        public void end() {
-            by.add("end");
+        public void onComplete() {
+            endings.add("end");
         }
 
         @Override
-        public void failed(boolean neverSent) {
-            by.add(neverSent ? "never sent" : "may have run");
+        public void onFailed(boolean neverSent) {
+            endings.add(neverSent ? "never sent" : "may have run");
         }
     }
 
@@ -135,27 +138,27 @@
     }
 
     @Test
-    void aConnectionIsUsedAgainAndRetiredLongBeforeTheFarSideWould() throws Exception {
+    void idleConnectionsAreReusedAndClosedBeforeTheServerClosesThem() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool kept = pool(30_000, ROOMY);
-            // A connection is not used again before it has been quiet for a while.
+            Pool reusing = pool(30_000, LARGE_POOL);
+            // A connection is not reused before its settle delay has passed.
             for (int opened = -1; opened != server.connections(); ) {
                 opened = server.connections();
-                assertThat(post(kept, server.socketAddress())).isEqualTo("end");
+                assertThat(post(reusing, server.socketAddress())).isEqualTo("end");
             }
             int before = server.connections();
             assertThat(post(pool(100), server.socketAddress())).isEqualTo("end");
-            await("the new connection retired", () -> server.connections() == before + 1 && server.ended() == 1);
+            await("the new connection closed", () -> server.connections() == before + 1 && server.ended() == 1);
         }
     }
 
     @Test
-    void whatBreaksAfterItsLastByteMayHaveRunAndIsNotSentAgain() throws Exception {
+    void aRequestResetAfterItWasSentIsNotRetried() throws Exception {
         try (StandIn server = new StandIn(x -> {
             if (x.number == 0) x.reply(200, "");
             else x.reset();
         })) {
-            Pool pool = pool(30_000, ROOMY);
+            Pool pool = pool(30_000, LARGE_POOL);
             int posts = 1;
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
@@ -164,29 +167,29 @@
         }
     }
 
-    /** The client library would hold the next request back behind the rest of this one. */
+    /** Otherwise the next request would be delayed by the rest of this one. */
     @Test
-    void aConnectionOnWhichARequestIsHalfWrittenIsNotUsedAgain() throws Exception {
-        BlockingQueue<String> ends = World.queue();
+    void aConnectionWithAPartlyWrittenRequestIsNotReused() throws Exception {
+        BlockingQueue<String> endings = World.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress at = (InetSocketAddress) server.getLocalSocketAddress();
+            InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             Pool pool = pool(1e12);
             loop.execute(() -> {
-                io.undertow.client.ClientRequest request = HttpRequests.create(at, Methods.POST, "/");
+                io.undertow.client.ClientRequest request = HttpRequests.create(address, Methods.POST, "/");
                 request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 32 << 20);
-                pool.start(at, request, new byte[32 << 20], new Heard(ends));
+                pool.start(address, request, new byte[32 << 20], new RecordingHandler(endings));
             });
-            try (Socket early = server.accept()) {
-                early.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
-                assertThat(take(ends)).isEqualTo("end");
-                World.readAll(early.getInputStream());
+            try (Socket socket = server.accept()) {
+                socket.getOutputStream().write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes());
+                assertThat(take(endings)).isEqualTo("end");
+                World.readAll(socket.getInputStream());
             }
         }
     }
 
-    /** What stands behind an answer must never be taken for the next request's. */
+    /** A surplus response must never be taken for the response to the next request. */
     @Test
-    void aSecondAnswerRightBehindIsNobodys() throws Exception {
+    void aConnectionWithASurplusResponseIsClosed() throws Exception {
         try (StandIn server = new StandIn(x -> {
             x.write("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             if (x.number == 0) x.reply(500, "another's");
@@ -194,15 +197,15 @@
             Pool pool = pool(30_000);
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
-                int seen = i;
-                await("the connection given up", () -> server.ended() == seen);
+                int expectedClosed = i;
+                await("the connection closed", () -> server.ended() == expectedClosed);
             }
         }
     }
 
-    /** Engines must leave clients their part of the descriptors. */
+    /** Connections to engines must leave enough file descriptors to clients. */
     @Test
-    void thePoolHoldsNoMoreThanItsPart() throws Exception {
+    void thePoolOpensNoMoreThanItsMaximumOfConnections() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn server = new StandIn(waiting::add);
                 StandIn other = new StandIn(x -> x.reply(200, ""))) {
@@ -210,17 +213,20 @@
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
             for (int i = 0; i < 50; i++) {
                 loop.execute(() -> pool.start(
-                        server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard)));
+                        server.socketAddress(),
+                        request(server.socketAddress()),
+                        new byte[2],
+                        new RecordingHandler(results)));
                 take(waiting);
             }
-            await("the idle one made room", () -> other.ended() == 1);
+            await("the idle connection closed to make room", () -> other.ended() == 1);
             assertThat(post(pool, other.socketAddress())).isEqualTo("never sent");
         }
     }
 
-    /** Or what it lets go would count as pinned by the time that a crowd of reads has been served. */
+    /** Otherwise its state would count as pinned by the time that many waiting reads have been sent. */
     @Test
-    void aReleaseGoesBeforeTheCallsThatWait() throws Exception {
+    void aReleaseIsStartedBeforeOtherWaitingCalls() throws Exception {
         BlockingQueue<String> arrived = World.queue();
         try (StandIn server = new StandIn(x -> {
             arrived.add(x.method);
@@ -229,126 +235,142 @@
             Pool pool = pool(30_000);
             InetSocketAddress to = server.socketAddress();
             loop.execute(() -> {
-                for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new Heard(heard));
-                pool.start(to, HttpRequests.create(to, Methods.DELETE, "/"), new byte[0], new Heard(heard));
+                for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new RecordingHandler(results));
+                pool.start(
+                        to, HttpRequests.create(to, Methods.DELETE, "/"), new byte[0], new RecordingHandler(results));
             });
-            for (int i = 0; i < 61; i++) assertThat(take(heard)).isEqualTo("end");
+            for (int i = 0; i < 61; i++) assertThat(take(results)).isEqualTo("end");
             assertThat(List.copyOf(arrived).indexOf("DELETE")).isBetween(0, 50);
         }
     }
 
-    /** Guards against a gateway that is behind and dials without bound; a release does not wait for the crowd. */
+    /** A gateway whose event loop lags must not open connections without bound; releases have a higher limit. */
     @Test
-    void dialsOnTheirWayAreBoundedOverAllServersAndReleasesComeFirst() throws Exception {
+    void pendingConnectsAreBoundedInTotalWithAHigherLimitForReleases() throws Exception {
         Metrics metrics = new Metrics();
-        BlockingQueue<Long> begun = World.queue();
+        BlockingQueue<Long> connectsStarted = World.queue();
         List<StandIn> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) servers.add(new StandIn(x -> x.reply(200, "")));
         Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 1_000, metrics);
         loop.execute(() -> {
             for (StandIn server : servers) {
                 InetSocketAddress to = server.socketAddress();
-                for (int i = 0; i < 20; i++) pool.start(to, request(to), new byte[2], new Heard(heard));
+                for (int i = 0; i < 20; i++) pool.start(to, request(to), new byte[2], new RecordingHandler(results));
             }
-            begun.add(begunDials(metrics));
+            connectsStarted.add(connectsStarted(metrics));
             InetSocketAddress last = servers.get(4).socketAddress();
-            pool.start(last, HttpRequests.create(last, Methods.DELETE, "/"), new byte[0], new Heard(heard));
-            begun.add(begunDials(metrics));
+            pool.start(
+                    last, HttpRequests.create(last, Methods.DELETE, "/"), new byte[0], new RecordingHandler(results));
+            connectsStarted.add(connectsStarted(metrics));
         });
-        assertThat(take(begun)).isEqualTo(64);
-        assertThat(take(begun)).isEqualTo(65);
-        for (int i = 0; i < 101; i++) assertThat(take(heard)).isEqualTo("end");
+        assertThat(take(connectsStarted)).isEqualTo(64);
+        assertThat(take(connectsStarted)).isEqualTo(65);
+        for (int i = 0; i < 101; i++) assertThat(take(results)).isEqualTo("end");
         for (StandIn server : servers) server.close();
     }
 
-    private static long begunDials(Metrics metrics) {
+    private static long connectsStarted(Metrics metrics) {
         return metrics.figures().stream()
                 .filter(figure -> figure.name().equals("dials_begun"))
                 .mapToLong(Metrics.Figure::value)
                 .sum();
     }
 
-    /** A crowd that comes at once waits for connections rather than failing on its own number. */
+    /** Many calls at once wait for connections rather than fail because of their number. */
     @Test
-    void moreCallsThanMayConnectWaitForTheirTurn() throws Exception {
+    void callsOverTheConnectLimitWaitAndComplete() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             Pool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 100; i++) {
-                    pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
+                    pool.start(
+                            server.socketAddress(),
+                            request(server.socketAddress()),
+                            new byte[2],
+                            new RecordingHandler(results));
                 }
             });
-            for (int i = 0; i < 100; i++) assertThat(take(heard)).isEqualTo("end");
+            for (int i = 0; i < 100; i++) assertThat(take(results)).isEqualTo("end");
         }
     }
 
-    /** Seen after restarts: 83 connects in a second held to have failed, and their engines with them. */
+    /** Seen after restarts: 83 connects in a second counted as failed, and their engines as failing. */
     @Test
-    void aLoopThatIsBehindHoldsNoConnectToHaveFailed() throws Exception {
+    void aBlockedEventLoopDoesNotFailEstablishedConnects() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
             Pool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 60; i++) {
-                    pool.start(server.socketAddress(), request(server.socketAddress()), new byte[2], new Heard(heard));
+                    pool.start(
+                            server.socketAddress(),
+                            request(server.socketAddress()),
+                            new byte[2],
+                            new RecordingHandler(results));
                 }
-                long from = System.nanoTime();
-                while (System.nanoTime() - from < 400_000_000L) Thread.onSpinWait(); // longer than a connect may take
+                long startNanos = System.nanoTime();
+                while (System.nanoTime() - startNanos < 400_000_000L)
+                    Thread.onSpinWait(); // longer than the connect timeout
             });
-            for (int i = 0; i < 60; i++) assertThat(take(heard)).isEqualTo("end");
+            for (int i = 0; i < 60; i++) assertThat(take(results)).isEqualTo("end");
         }
     }
 
-    /** A connection came up, or one became free, behind news that its engine leaves: the news is taken in first. */
+    /** An update that removes the engine, received before a connection became available, is applied first. */
     @Test
-    void aCallThatWaitedHearsTheNewsBeforeItIsWritten() throws Exception {
+    void theBeforeUseHookRunsBeforeAWaitingCallIsWritten() throws Exception {
         try (StandIn server = World.reader()) {
             Pool pool = pool(30_000);
             loop.execute(() -> {
                 Call[] call = new Call[1];
                 pool.setBeforeUseHook(() -> call[0].abort());
                 call[0] = pool.start(
-                        server.socketAddress(), request(server.socketAddress()), new byte[0], new Heard(heard));
+                        server.socketAddress(),
+                        request(server.socketAddress()),
+                        new byte[0],
+                        new RecordingHandler(results));
                 loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
             });
-            assertThat(take(heard)).isEqualTo("idle");
+            assertThat(take(results)).isEqualTo("idle");
             assertThat(server.seen).isEmpty();
         }
     }
 
     private void awaitIdle(Pool pool, StandIn server) {
-        if (pool.idleSinceMs(server.socketAddress()) > 0) heard.add("idle");
+        if (pool.idleSinceMs(server.socketAddress()) > 0) results.add("idle");
         else loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
     }
 
-    /** Any number of engines may hang together: one that answered lately is told before others, and all in time. */
+    /** Any number of engines may hang at once: the release reaches one that answered recently first, and in time. */
     @Test
-    void aReleaseGoesPastEnginesThatHang() throws Exception {
-        List<StandIn> all = new ArrayList<>();
-        try (StandIn lives = World.reader()) {
-            for (int i = 0; i < 20; i++) all.add(new StandIn(x -> x.awaitEnd()));
-            all.add(lives);
+    void aReleaseIsAnsweredByAnotherEngineWhenMostHang() throws Exception {
+        List<StandIn> servers = new ArrayList<>();
+        try (StandIn responsive = World.reader()) {
+            for (int i = 0; i < 20; i++) servers.add(new StandIn(x -> x.awaitEnd()));
+            servers.add(responsive);
             Pool pool = pool(30_000);
             EngineClient client = new EngineClient(pool);
-            Map<Long, InetSocketAddress> at = new HashMap<>();
+            Map<Long, InetSocketAddress> addresses = new HashMap<>();
             List<Endpoint> members = new ArrayList<>();
-            for (StandIn one : all) {
-                long id = at.size() + 1;
-                at.put(id, one.socketAddress());
+            for (StandIn server : servers) {
+                long id = addresses.size() + 1;
+                addresses.put(id, server.socketAddress());
                 members.add(new Endpoint(id, EndpointState.READY, 0, 0, 0, 1, 0));
             }
-            client.updateEngines(new EngineList(1, true, members, at));
-            post(pool, lives.socketAddress());
-            loop.execute(() -> client.release(1, at.keySet(), "a1", loop.nowMs() + 500, ALWAYS));
-            World.await("told", () -> lives.count("DELETE /internal/reservations/a1") == 1);
-            World.await("its own is still tried", () -> all.get(0).count("DELETE") >= 2);
-            for (StandIn one : all) one.close();
+            client.updateEngines(new EngineList(1, true, members, addresses));
+            post(pool, responsive.socketAddress());
+            loop.execute(() -> client.release(1, addresses.keySet(), "a1", loop.nowMs() + 500, ALWAYS_ALLOWED));
+            World.await(
+                    "the release reaches another engine",
+                    () -> responsive.count("DELETE /internal/reservations/a1") == 1);
+            World.await("the holder is still retried", () -> servers.get(0).count("DELETE") >= 2);
+            for (StandIn server : servers) server.close();
         }
     }
 
-    /** Seen on a busy day: a loop that was behind took answers that it had not read for silence, and called ever more engines. */
+    /** Seen under load: a lagging loop took unread responses for missing ones, and called more and more engines. */
     @Test
-    void aReleaseWhoseAnswerWaitsToBeReadGoesNowhereElse() throws Exception {
-        try (StandIn own = World.reader();
+    void aReleaseWithAnUnreadResponseIsNotSentToOtherEngines() throws Exception {
+        try (StandIn holder = World.reader();
                 StandIn other = World.reader()) {
             Pool pool = pool(30_000).withoutSettleDelay();
             EngineClient client = new EngineClient(pool);
@@ -357,49 +379,50 @@
                     1,
                     true,
                     List.of(one, new Endpoint(2, EndpointState.READY, 0, 0, 0, 1, 0)),
-                    Map.of(1L, own.socketAddress(), 2L, other.socketAddress())));
-            post(pool, own.socketAddress());
+                    Map.of(1L, holder.socketAddress(), 2L, other.socketAddress())));
+            post(pool, holder.socketAddress());
             loop.execute(() -> {
-                client.release(1, Set.of(1L, 2L), "a1", loop.nowMs() + 500, ALWAYS);
-                double from = loop.nowMs();
-                while (own.count("DELETE") == 0 || loop.nowMs() < from + 250) Thread.onSpinWait(); // the loop is behind
-                loop.schedule(loop.nowMs() + 100, () -> heard.add("later"));
+                client.release(1, Set.of(1L, 2L), "a1", loop.nowMs() + 500, ALWAYS_ALLOWED);
+                double startMs = loop.nowMs();
+                while (holder.count("DELETE") == 0 || loop.nowMs() < startMs + 250)
+                    Thread.onSpinWait(); // the loop lags
+                loop.schedule(loop.nowMs() + 100, () -> results.add("later"));
             });
-            assertThat(take(heard)).isEqualTo("later");
-            assertThat(own.count("DELETE")).isEqualTo(1);
+            assertThat(take(results)).isEqualTo("later");
+            assertThat(holder.count("DELETE")).isEqualTo(1);
             assertThat(other.count("DELETE")).isZero();
         }
     }
 
-    /** An attempt that waited for its connection told its engine of time that had gone by. */
+    /** An attempt that had waited for its connection sent its engine a deadline that included the time waited. */
     @Test
-    void whatAnEngineIsToldOfTimeIsWhatIsLeftAsItIsWritten() throws Exception {
-        BlockingQueue<StandIn.Exchange> taken = World.queue();
-        try (StandIn server = new StandIn(taken::add)) {
+    void theDeadlineHeaderIsComputedWhenTheRequestIsWritten() throws Exception {
+        BlockingQueue<StandIn.Exchange> exchanges = World.queue();
+        try (StandIn server = new StandIn(exchanges::add)) {
             EngineClient client = new EngineClient(pool(30_000, 1).withoutSettleDelay());
             client.updateEngines(new EngineList(
                     1,
                     true,
                     List.of(new Endpoint(1, EndpointState.READY, 0, 0, 0, 1, 0)),
                     Map.of(1L, server.socketAddress())));
-            HttpRequestPayload cargo = new HttpRequestPayload(Methods.POST, "/", List.of(), new byte[2]);
-            InferenceRequest ask = new InferenceRequest("a1", 0, 0, 0, 1, 0, 0, 5_000, 1, 0, false, 2, cargo);
-            double until = loop.nowMs() + 5_000;
+            HttpRequestPayload payload = new HttpRequestPayload(Methods.POST, "/", List.of(), new byte[2]);
+            InferenceRequest request = new InferenceRequest("a1", 0, 0, 0, 1, 0, 0, 5_000, 1, 0, false, 2, payload);
+            double deadlineMs = loop.nowMs() + 5_000;
             loop.execute(() -> {
-                client.send(1, ask, until, ConnectionChoice.ANY, new Untold());
-                client.send(1, ask, until, ConnectionChoice.ANY, new Untold());
+                client.send(1, request, deadlineMs, ConnectionChoice.ANY, new IgnoringObserver());
+                client.send(1, request, deadlineMs, ConnectionChoice.ANY, new IgnoringObserver());
             });
-            StandIn.Exchange first = take(taken);
-            double from = loop.nowMs();
-            World.await("time goes by", () -> loop.nowMs() > from + 20);
-            double left = until - loop.nowMs();
+            StandIn.Exchange first = take(exchanges);
+            double startMs = loop.nowMs();
+            World.await("time passes", () -> loop.nowMs() > startMs + 20);
+            double remainingMs = deadlineMs - loop.nowMs();
             first.reply(202, "{}");
-            assertThat(Double.parseDouble(take(taken).headers.get("req-deadline")) * 1_000)
-                    .isLessThanOrEqualTo(left + 1);
+            assertThat(Double.parseDouble(take(exchanges).headers.get("req-deadline")) * 1_000)
+                    .isLessThanOrEqualTo(remainingMs + 1);
         }
     }
 
-    private static final class Untold implements AttemptObserver {
+    private static final class IgnoringObserver implements AttemptObserver {
         @Override
         public void onSent() {}
 
@@ -413,29 +436,29 @@
         public void onEnded(AttemptOutcome outcome, double kept) {}
     }
 
-    /** A long day replaces engines all the time. */
+    /** In a long run engines are replaced all the time. */
     @Test
-    void enginesThatLeftAreForgottenInTheEnd() throws Exception {
-        try (StandIn at = new StandIn(x -> {})) {
+    void theTableOfRemovedEnginesIsBounded() throws Exception {
+        try (StandIn server = new StandIn(x -> {})) {
             EngineClient client = new EngineClient(pool(30_000));
             for (long id = 1; id <= 5_000; id++) {
-                Endpoint came = new Endpoint(id, EndpointState.READY, 0, 0, 0, 1, 0);
-                Endpoint gone = new Endpoint(id - 1, EndpointState.REMOVED, 0, 0, 0, 1, 0);
+                Endpoint added = new Endpoint(id, EndpointState.READY, 0, 0, 0, 1, 0);
+                Endpoint removed = new Endpoint(id - 1, EndpointState.REMOVED, 0, 0, 0, 1, 0);
                 client.updateEngines(new EngineList(
                         id,
                         id % 10 == 0,
-                        id % 10 == 0 ? List.of(came) : List.of(came, gone),
-                        Map.of(id, at.socketAddress())));
+                        id % 10 == 0 ? List.of(added) : List.of(added, removed),
+                        Map.of(id, server.socketAddress())));
             }
-            assertThat(client.known()).isLessThan(2_100);
+            assertThat(client.knownEngines()).isLessThan(2_100);
         }
     }
 
     @Test
     void aConnectionThatIsRefusedProvesThatNothingWasSent() throws Exception {
-        StandIn gone = new StandIn(x -> {});
-        InetSocketAddress at = gone.socketAddress();
-        gone.close();
-        assertThat(post(pool(30_000), at)).isEqualTo("never sent");
+        StandIn closedServer = new StandIn(x -> {});
+        InetSocketAddress address = closedServer.socketAddress();
+        closedServer.close();
+        assertThat(post(pool(30_000), address)).isEqualTo("never sent");
     }
 }
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -18,15 +18,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The promise of the event loop: what had arrived when a timer became due is handled before the timer runs. */
+/** The event loop's guarantee: what had arrived when a timer became due is handled before the timer runs. */
 class XnioLoopTest {
-    private static final long LATE_MS = 60;
-    private static final int ENDLESS = 100_000;
+    private static final long BLOCKED_MS = 60;
+    private static final int MAX_REPEATS = 100_000;
     private static final int TIMERS = 100;
 
     private final XnioWorker worker;
     private final XnioLoop loop;
-    private final BlockingQueue<String> seen = World.queue();
+    private final BlockingQueue<String> events = World.queue();
 
     XnioLoopTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -55,81 +55,81 @@
         loop.thread()
                 .openStreamConnection(
                         new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), null, OptionMap.EMPTY)
-                .addNotifier((future, none) -> loop.execute(() -> seen.add("connected")), null);
+                .addNotifier((future, none) -> loop.execute(() -> events.add("connected")), null);
     }
 
-    /** Guards against a dial that is given up though its far side accepted it while the loop was late. */
+    /** A connect must not time out if the server accepted it while the loop was late. */
     @RepeatedTest(12)
-    void aConnectionThatCameUpIsSeenBeforeATimerThatWasDueLater() throws Exception {
+    void anEstablishedConnectionIsHandledBeforeATimerDueLater() throws Exception {
         try (ServerSocket server = listen()) {
             loop.execute(() -> {
                 connect(server);
-                loop.schedule(loop.nowMs() + 1, () -> seen.add("timer"));
-                sleep(LATE_MS);
+                loop.schedule(loop.nowMs() + 1, () -> events.add("timer"));
+                sleep(BLOCKED_MS);
             });
-            assertThat(take(seen)).isEqualTo("connected");
-            assertThat(take(seen)).isEqualTo("timer");
+            assertThat(take(events)).isEqualTo("connected");
+            assertThat(take(events)).isEqualTo("timer");
         }
     }
 
-    /** Guards against timers that are due again before the sockets are looked at, such as those of a crowd let in by steps. */
+    /** Timers may be due again before the sockets are polled, such as those that accept many connections in steps. */
     @Test
-    void aTimerThatIsAlwaysDueAgainDoesNotKeepTheLoopFromItsSockets() throws Exception {
+    void aTimerRescheduledWithoutEndDoesNotStarveSockets() throws Exception {
         try (ServerSocket server = listen()) {
             loop.execute(() -> {
                 connect(server);
-                repeat(ENDLESS);
+                repeat(MAX_REPEATS);
             });
-            assertThat(take(seen)).isEqualTo("connected");
+            assertThat(take(events)).isEqualTo("connected");
         }
     }
 
     private void repeat(int times) {
         sleep(2);
-        if (times > 0 && seen.isEmpty()) loop.schedule(loop.nowMs() - 1, () -> repeat(times - 1));
+        if (times > 0 && events.isEmpty()) loop.schedule(loop.nowMs() - 1, () -> repeat(times - 1));
     }
 
-    /** Guards against many timers at once that keep the loop from its sockets until all have run. */
+    /** Many timers due at once must not delay the sockets until all have run. */
     @Test
-    void manyTimersAtOnceLetTheSocketsBeSeenBetweenThem() throws Exception {
+    void socketsArePolledBetweenManyDueTimers() throws Exception {
         try (ServerSocket server = listen()) {
             loop.execute(() -> loop.schedule(loop.nowMs(), () -> {
                 for (int i = 0; i < TIMERS; i++) {
                     loop.schedule(loop.nowMs(), () -> {
                         sleep(2);
-                        seen.add("timer");
+                        events.add("timer");
                     });
                 }
                 connect(server);
             }));
             int timers = 0;
-            while (take(seen).equals("timer")) timers++;
+            while (take(events).equals("timer")) timers++;
             assertThat(timers).isLessThan(TIMERS / 2);
         }
     }
 
     @Test
-    void timersRunInOrderAndNotBeforeTheirTimeAndNotOnceCancelled() throws Exception {
+    void timersRunInOrderNotEarlyAndNotAfterCancel() throws Exception {
         double startMs = loop.nowMs();
-        loop.schedule(startMs + 30, () -> seen.add("30 at " + (loop.nowMs() >= startMs + 30)));
-        loop.schedule(startMs + 10, () -> seen.add("10 at " + (loop.nowMs() >= startMs + 10)));
-        EventLoop.Timer cancelled = loop.schedule(startMs + 20, () -> seen.add("20"));
+        loop.schedule(startMs + 30, () -> events.add("30 at " + (loop.nowMs() >= startMs + 30)));
+        loop.schedule(startMs + 10, () -> events.add("10 at " + (loop.nowMs() >= startMs + 10)));
+        EventLoop.Timer cancelled = loop.schedule(startMs + 20, () -> events.add("20"));
         cancelled.cancel();
-        loop.schedule(startMs + 10, () -> seen.add("second of 10"));
-        assertThat(take(seen)).isEqualTo("10 at true");
-        assertThat(take(seen)).isEqualTo("second of 10");
-        assertThat(take(seen)).isEqualTo("30 at true");
+        loop.schedule(startMs + 10, () -> events.add("second of 10"));
+        assertThat(take(events)).isEqualTo("10 at true");
+        assertThat(take(events)).isEqualTo("second of 10");
+        assertThat(take(events)).isEqualTo("30 at true");
     }
 
-    /** Guards against a timer whose failure ends the loop's further timers. */
+    /** A timer task that throws must not end the loop's further timers. */
     @Test
-    void aTimerThatFailsEndsNoOther() throws Exception {
+    void aFailingTimerDoesNotStopOtherTimers() throws Exception {
         loop.execute(() -> {
             loop.schedule(loop.nowMs(), () -> {
-                throw new IllegalStateException("wanted by the test");
+                throw new IllegalStateException("thrown by the test");
             });
-            loop.schedule(loop.nowMs(), () -> seen.add("next"));
+            loop.schedule(loop.nowMs(), () -> events.add("next"));
         });
-        assertThat(take(seen)).isEqualTo("next");
+        assertThat(take(events)).isEqualTo("next");
     }
 }
--- a/src/test/java/maplerail/rpc/BatchTest.java
+++ b/src/test/java/maplerail/rpc/BatchResponseTest.java
@@ -6,35 +6,35 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class BatchTest {
-    private final List<String> told = new ArrayList<>();
-    private final BatchResponse batch = new BatchResponse(told::add);
+class BatchResponseTest {
+    private final List<String> sent = new ArrayList<>();
+    private final BatchResponse batch = new BatchResponse(sent::add);
 
     @Test
-    void theArrayGoesOutOnceWithTheLastAnswer() {
+    void theArrayIsSentOnceAfterTheLastResponse() {
         batch.expectResponses(1);
         batch.addResponse("1");
         batch.expectResponses(0);
         batch.expectResponses(1);
         assertThat(batch.seal()).isEqualTo(1);
-        assertThat(told).isEmpty();
+        assertThat(sent).isEmpty();
         batch.addResponse("2");
-        assertThat(told).containsExactly("[1,2]");
+        assertThat(sent).containsExactly("[1,2]");
     }
 
     @Test
-    void answersThatCameBeforeTheEndWaitForIt() {
+    void responsesBeforeTheSealAreHeldBackUntilIt() {
         batch.expectResponses(1);
         batch.addResponse("1");
-        assertThat(told).isEmpty();
+        assertThat(sent).isEmpty();
         batch.seal();
-        assertThat(told).containsExactly("[1]");
+        assertThat(sent).containsExactly("[1]");
     }
 
     @Test
-    void notificationsAloneBringNothing() {
+    void notificationsAloneProduceNoResponse() {
         batch.expectResponses(0);
         assertThat(batch.seal()).isZero();
-        assertThat(told).isEmpty();
+        assertThat(sent).isEmpty();
     }
 }
--- a/src/test/java/maplerail/rpc/PagesTest.java
+++ b/src/test/java/maplerail/rpc/PaginationTest.java
@@ -10,30 +10,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PagesTest {
+class PaginationTest {
     @Test
-    void whatStaysComesOnceThoughOthersComeAndGoBetweenPages() {
+    void entriesThatStayAreListedOnceDespiteChangesBetweenPages() {
         for (int seed = 0; seed < 100; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             TreeMap<String, Integer> all = new TreeMap<>();
             for (int i = 0; i < 50; i++) all.put("stays " + random.nextInt(1_000_000), 0);
-            List<String> stay = List.copyOf(all.keySet());
-            List<String> told = new ArrayList<>();
+            List<String> permanent = List.copyOf(all.keySet());
+            List<String> listed = new ArrayList<>();
             String cursor = null;
             do {
                 Pagination.Page page = Pagination.page(all, cursor, 1 + random.nextInt(9));
-                told.addAll(page.names());
+                listed.addAll(page.names());
                 cursor = page.nextCursor();
                 all.keySet().removeIf(name -> name.startsWith("x") && random.nextBoolean());
                 all.put((random.nextBoolean() ? "x" : "stays a") + random.nextInt(1_000_000), 0);
             } while (cursor != null);
-            assertThat(told).as("seed %d", seed).doesNotHaveDuplicates().containsAll(stay);
+            assertThat(listed).as("seed %d", seed).doesNotHaveDuplicates().containsAll(permanent);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "%%", "YQ==", "a", "YQ YQ"})
-    void aCursorThatWasNeverGivenIsNone(String cursor) {
+    void anInvalidCursorIsRejected(String cursor) {
         assertThat(Pagination.page(new TreeMap<>(), cursor, 5)).isNull();
     }
 }
--- a/src/test/java/maplerail/rpc/SessionStateTest.java
+++ b/src/test/java/maplerail/rpc/SessionStateTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SessionStateTest {
-    private static SessionState at(String phase, boolean handshake) {
+    private static SessionState stateIn(String phase, boolean handshake) {
         SessionState state = new SessionState(handshake);
         if (!phase.equals("NEW")) state.initialize("2025-03-26");
         if (phase.equals("READY") || phase.equals("DRAINING")) state.onInitialized();
@@ -36,18 +36,18 @@
         "CLOSED,     true,  ping,       CLOSED",
         "CLOSED,     false, tools/call, CLOSED",
     })
-    void eachRequestHasItsTime(String phase, boolean handshake, String method, SessionState.Decision verdict) {
-        assertThat(at(phase, handshake).decide(method)).isEqualTo(verdict);
+    void requestsAreDecidedByPhase(String phase, boolean handshake, String method, SessionState.Decision decision) {
+        assertThat(stateIn(phase, handshake).decide(method)).isEqualTo(decision);
     }
 
     @ParameterizedTest
     @CsvSource({"2025-06-18, 2025-06-18", "2024-11-05, 2024-11-05", "1999-01-01, 2025-06-18", "'', 2025-06-18"})
-    void aVersionThatIsNotSpokenIsAnsweredWithTheNewest(String asked, String agreed) {
-        assertThat(new SessionState(true).initialize(asked)).isEqualTo(agreed);
+    void anUnsupportedVersionIsAnsweredWithTheNewest(String requested, String agreed) {
+        assertThat(new SessionState(true).initialize(requested)).isEqualTo(agreed);
     }
 
     @Test
-    void initializedCountsOnlyOnceAndInItsTime() {
+    void initializedIsAcceptedOnceAfterInitialize() {
         SessionState state = new SessionState(true);
         assertThat(state.onInitialized()).isFalse();
         assertThat(state.phase()).isEqualTo(SessionState.Phase.NEW);
