--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioLoopTest.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Timers may be due again before the sockets are polled, such as those that accept many connections in steps. */
+    /** Timers due again before a poll, such as those that accept many connections in steps, must not starve sockets. */
     @Test
     void aTimerRescheduledWithoutEndDoesNotStarveSockets() throws Exception {
         try (ServerSocket server = listen()) {
