--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/Pool.java
@@ -248,7 +248,7 @@
             connection = future.get();
         } catch (IOException | RuntimeException e) {
             LOG.debug(
-                    "{}: connect failed: {}, {} open, {} pending",
+                    "{}: not connected: {}, {} open, {} on their way",
                     address,
                     e.getMessage(),
                     openConnections.size(),
