--- a/src/test/java/maplerail/core/BrokerTest.java
+++ b/src/test/java/maplerail/core/BrokerTest.java
@@ -177,9 +177,9 @@
                     InferenceRequest request,
                     double untilMs,
                     ConnectionChoice connection,
-                    AttemptObserver answer) {
+                    AttemptObserver observer) {
                 connectionChoices.add(connection);
-                sentAttempts.add(new SentAttempt(answer));
+                sentAttempts.add(new SentAttempt(observer));
                 return sentAttempts.get(sentAttempts.size() - 1);
             }
 
@@ -188,19 +188,19 @@
 
             @Override
             public void reservePlace(
-                    long engine, String id, ConnectionChoice connection, Consumer<ReservePlaceResult> onAnswer) {
-                placeResults.add(onAnswer);
+                    long engine, String id, ConnectionChoice connection, Consumer<ReservePlaceResult> onResult) {
+                placeResults.add(onResult);
             }
 
             @Override
-            public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl gate) {
+            public void release(long engine, Set<Long> others, String id, double untilMs, ReleaseControl control) {
                 releases.add(engine + "/" + id);
-                releaseControls.add(gate);
+                releaseControls.add(control);
                 transportCalls.add("release");
                 if (!enginesAnswerReleases) return;
-                gate.onReleased();
-                gate.onHolderResponded();
-                gate.onEnded(true);
+                control.onReleased();
+                control.onHolderResponded();
+                control.onEnded(true);
             }
         };
         broker = new Broker(
@@ -287,7 +287,7 @@
     }
 
     static Stream<Arguments> streamEndings() {
-        Consumer<BrokerTest> served = t -> t.sentAttempts.get(0).observer.onEnded(AttemptOutcome.COMPLETED, 0);
+        Consumer<BrokerTest> completed = t -> t.sentAttempts.get(0).observer.onEnded(AttemptOutcome.COMPLETED, 0);
         Consumer<BrokerTest> reset = t -> t.sentAttempts.get(0).observer.onEnded(AttemptOutcome.RESET, 0);
         Consumer<BrokerTest> disconnected = t -> t.adoptedHandle.onClientDisconnected();
         Consumer<BrokerTest> stalled = t -> t.loop.runUntil(t.loop.now + 3_000);
@@ -295,7 +295,7 @@
         Consumer<BrokerTest> detached =
                 t -> assertThat(t.broker.detachStreams(1)).hasSize(1);
         return Stream.of(
-                Arguments.of("completed", served, "end", 1, 0),
+                Arguments.of("completed", completed, "end", 1, 0),
                 Arguments.of("engine failure", reset, "broken", 0, 1),
                 Arguments.of("client disconnect", disconnected, null, 0, 0),
                 Arguments.of("engine stall", stalled, "broken", 0, 1),
@@ -309,8 +309,8 @@
     void anAdoptedStreamEndsOnce(String name, Consumer<BrokerTest> end, String lastCall, long answered, long errored) {
         betweenEvents = true;
         clientConnection = "client";
-        adoptedHandle = broker.adoptStream("b", "x", recordingObserver(), 3_000, answer -> {
-            sentAttempts.add(new SentAttempt(answer));
+        adoptedHandle = broker.adoptStream("b", "x", recordingObserver(), 3_000, observer -> {
+            sentAttempts.add(new SentAttempt(observer));
             return sentAttempts.get(0);
         });
         loop.runUntil(loop.now + 2_900);
@@ -371,13 +371,13 @@
             }
 
             @Override
-            public void onRejected(Reason why, double retryAfterMs) {
-                clientCalls.add("refuse " + why + " " + Math.round(retryAfterMs));
+            public void onRejected(Reason reason, double retryAfterMs) {
+                clientCalls.add("refuse " + reason + " " + Math.round(retryAfterMs));
             }
 
             @Override
-            public void onFailed(Reason why) {
-                clientCalls.add("fail " + why);
+            public void onFailed(Reason reason) {
+                clientCalls.add("fail " + reason);
             }
         };
     }
@@ -838,7 +838,7 @@
         assertThat(placeResults).hasSize(1);
     }
 
-    /** Places were reserved for reads that only waited in their reader's queue. */
+    /** Prevents reserving places for reads that only wait in their reader's queue. */
     @Test
     void aReadIsNotProbedWhileItsReaderResponds() {
         allowPlaceReservation();
@@ -856,7 +856,7 @@
         assertThat(reportedEvents).contains(new RoutingEvent.ReadOverdue(3, 0));
     }
 
-    /** Each read at a slow reader caused a call to a writer. */
+    /** Prevents a call to a writer for each read at a slow reader. */
     @Test
     void aProbeResultAppliesToReadsWrittenLater() {
         allowPlaceReservation();
