--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -114,11 +114,11 @@
             if (!calledAddress.equals(address)) return true;
             try {
                 if (status != OK) throw new ConfigException("unexpected status " + status);
-                Tree answer = Tree.any(path, text);
+                Tree result = Tree.any(path, text);
                 long received = nextIndex(index, headers.getFirst("X-Consul-Index"));
                 // The response to an earlier call may arrive after that to a later call, which takes precedence.
                 if (callGeneration != generation && received <= index) return true;
-                handle(answer, received);
+                handle(result, received);
                 return true;
             } catch (ConfigException e) {
                 LOG.warn("consul query failed path={} error={}", path, e.getMessage());
--- a/src/main/java/maplerail/discovery/PollSchedule.java
+++ b/src/main/java/maplerail/discovery/PollSchedule.java
@@ -28,8 +28,7 @@
     private static final double SERVICE_WAIT_MS = 15_000;
     private static final double SERVICE_WAIT_SPREAD_MS = 5_000;
     private static final double SERVICE_GRACE_MS = 1_000; // half of 2 s: the rest is for the short poll that follows
-    private static final double SERVICE_SHORT_POLL_TIMEOUT_MS =
-            4_000; // if aborted sooner, a call would be queued twice
+    private static final double SERVICE_SHORT_POLL_TIMEOUT_MS = 4_000; // if aborted sooner, a call is queued twice
     private static final double SERVICE_REPEAT_MS = 1_600; // a lost call must not use up the 6 s
     private static final double SERVICE_REPEAT_SPREAD_MS = 200;
     private static final double SERVICE_FIRST_BACKOFF_MS = 200;
--- a/src/main/java/maplerail/fleet/Membership.java
+++ b/src/main/java/maplerail/fleet/Membership.java
@@ -114,7 +114,7 @@
      *
      * @param rank the gateway's rank in the tier
      * @param tierSize the number of gateways of the tier
-     * @param startedMs the start of the process in Unix time, which is its first incarnation; a restart has a higher one
+     * @param startedMs the start of the process in Unix time, its first incarnation; a restart has a higher one
      * @param seed the seed of all random draws
      */
     public Membership(int rank, int tierSize, double startedMs, long seed) {
@@ -316,8 +316,8 @@
 
     private void setState(Member member, State state, long newIncarnation, double nowMs) {
         if (state == State.SUSPECT && member.state != State.SUSPECT) member.suspectedMs = nowMs;
-        // The first incarnation received from a gateway that was already considered alive is not disseminated: a
-        // starting tier would send no other updates.
+        // The first incarnation received from a gateway that was already considered alive is not disseminated;
+        // otherwise a starting tier would send nothing but such updates.
         boolean disseminate = member.state != state || member.incarnation != 0;
         member.state = state;
         member.incarnation = newIncarnation;
--- a/src/main/java/maplerail/migration/DescriptorChannel.java
+++ b/src/main/java/maplerail/migration/DescriptorChannel.java
@@ -25,8 +25,8 @@
  * process that started to listen last owns the address.
  *
  * <p>On a connection the listener sends its process id (u64). Then, for each stream, the sender writes a
- * {@link MigratedStream} (preceded by its length as u16, with both descriptors attached), and the listener answers 1
- * (accepted) or 0 (rejected).
+ * {@link MigratedStream} (preceded by its length as u16, both descriptors attached to its first byte), and the listener
+ * answers 1 (accepted) or 0 (rejected).
  */
 public final class DescriptorChannel implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(DescriptorChannel.class);
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -40,11 +40,11 @@
         "maintenance,passing,DRAINING",
         "passing,unknown,DRAINING"
     })
-    void serverIsReadyIfAllChecksPassOrWarn(String firstStatus, String secondStatus, EndpointState state) {
+    void serverIsReadyIfAllChecksPassOrWarn(String first, String second, EndpointState state) {
         EngineList list = ConsulDiscovery.parse(Tree.any("health", """
                 [{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"r1","Address":"","Port":80},
                   "Checks":[{"Status":"%s"},{"Status":"%s"}]},
-                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(firstStatus, secondStatus)), 1);
+                 {"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":"no-port"}}]""".formatted(first, second)), 1);
         assertThat(list.members()).hasSize(1);
         assertThat(list.members().get(0).state()).isEqualTo(state);
         assertThat(list.addresses().values().iterator().next().toString()).isEqualTo("/127.0.0.9:80");
--- a/src/test/java/maplerail/discovery/PollScheduleTest.java
+++ b/src/test/java/maplerail/discovery/PollScheduleTest.java
@@ -15,8 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PollScheduleTest {
-    private static final double CHANGE_DEADLINE_MS =
-            6_000; // in which a change missed by a long poll has to be received
+    private static final double CHANGE_DEADLINE_MS = 6_000; // for a change missed by a long poll
 
     private static PollSchedule createSchedule(boolean agent) {
         return new PollSchedule(agent, 7, new SplittableRandom(1));
