--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -277,8 +277,8 @@
     }
 
     /**
-     * The engines to try besides the holder: unresponsive ones come last, otherwise those that answered this gateway most
-     * recently come first.
+     * The engines to try besides the holder: unresponsive ones come last, otherwise those that answered this gateway
+     * most recently come first.
      */
     private List<InetSocketAddress> otherEnginesByPreference(
             Set<Long> candidates, InetSocketAddress excluded, String requestId, ReleaseControl control) {
