--- a/src/main/java/maplerail/front/AcceptThrottle.java
+++ b/src/main/java/maplerail/front/AcceptThrottle.java
@@ -13,17 +13,17 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Lets new connections in a few at a time, with whatever else is due on the loop in between. Guards against a crowd
- * such as a program just started meets: taken in at one go, it kept the loop from what engines had answered for more
- * than a second, so that states which nobody had seen counted as pinned.
+ * Admits new connections in small batches, so that other tasks of the event loop run in between. A burst of
+ * connections, as right after a process start, would otherwise keep the loop from reading engine responses for more
+ * than a second, and states reported in unread responses would count as pinned.
  */
 public final class AcceptThrottle implements ChannelListener<AcceptingChannel<StreamConnection>> {
-    /** The most connections let in before the loop looks after the rest. */
-    public static final int AT_ONCE = 4;
+    /** The maximum number of connections admitted before other tasks of the loop run. */
+    public static final int BATCH_SIZE = 4;
 
     private static final Logger LOG = LoggerFactory.getLogger(AcceptThrottle.class);
     private static final double PAUSE_MS = 1;
-    private static final double LATE_MS = 60; // of a turn, from which the loop has enough to do
+    private static final double LATE_LOOP_MS = 60; // delay of a timer from which the loop counts as overloaded
 
     private final ChannelListener<StreamConnection> next;
     private final Consumer<Collection<StreamConnection>> onAccepted;
@@ -32,9 +32,10 @@
     private boolean admitting;
 
     /**
-     * Creates a throttle before what manages open connections.
+     * Creates a throttle.
      *
-     * @param onAccepted hears of the connections that wait to be let in, after all that are there have been accepted
+     * @param next receives the admitted connections
+     * @param onAccepted receives the connections that wait for admission, after all available ones have been accepted
      */
     public AcceptThrottle(
             ChannelListener<StreamConnection> next, Consumer<Collection<StreamConnection>> onAccepted, EventLoop loop) {
@@ -43,38 +44,39 @@
         this.loop = loop;
     }
 
-    /** Connections that have been taken and not let in yet: their clients may have sent a request. */
+    /** The number of connections that are accepted and not admitted yet; their clients may have sent requests. */
     public int waitingCount() {
         return waiting.size();
     }
 
-    /** Takes all that are there: XNIO runs nothing else on this thread while it has some left. */
+    /** Accepts all pending connections: XNIO runs nothing else on this thread while the backlog has some. */
     @Override
-    public void handleEvent(AcceptingChannel<StreamConnection> from) {
-        acceptAll(from);
+    public void handleEvent(AcceptingChannel<StreamConnection> channel) {
+        acceptAll(channel);
         onAccepted.accept(waiting);
-        if (!admitting) admit(AT_ONCE);
+        if (!admitting) admit(BATCH_SIZE);
     }
 
-    private void acceptAll(AcceptingChannel<StreamConnection> from) {
+    private void acceptAll(AcceptingChannel<StreamConnection> channel) {
         try {
-            for (StreamConnection came = from.accept(); came != null; came = from.accept()) waiting.add(came);
+            for (StreamConnection connection = channel.accept(); connection != null; connection = channel.accept())
+                waiting.add(connection);
         } catch (ClosedChannelException e) {
-            LOG.debug("no connections are taken any more"); // as when another process serves the socket
+            LOG.debug("listening socket is closed, no more connections are accepted"); // as after a handover
         } catch (IOException e) {
-            LOG.warn("a connection could not be taken: {}", e.getMessage());
+            LOG.warn("failed to accept a connection: {}", e.getMessage());
         }
     }
 
     /**
-     * Lets a few in, and looks again after a pause until nobody has come meanwhile: a crowd that XNIO hands over one
-     * connection at a time is held back as well. A program that is behind already lets in one at a time: let in only to
-     * be refused, each client would come again at once and cost as much as if it had been served.
+     * Admits a batch and repeats after a pause until no connection waits, which also throttles a burst that XNIO hands
+     * over one connection at a time. A late loop admits one connection at a time: clients that are admitted only to be
+     * rejected reconnect at once and cost as much as if they had been served.
      */
-    private void admit(int most) {
+    private void admit(int limit) {
         admitting = !waiting.isEmpty();
-        for (int i = 0; i < most && !waiting.isEmpty(); i++) next.handleEvent(waiting.poll());
+        for (int i = 0; i < limit && !waiting.isEmpty(); i++) next.handleEvent(waiting.poll());
         double due = loop.nowMs() + PAUSE_MS;
-        if (admitting) loop.schedule(due, () -> admit(loop.nowMs() - due < LATE_MS ? AT_ONCE : 1));
+        if (admitting) loop.schedule(due, () -> admit(loop.nowMs() - due < LATE_LOOP_MS ? BATCH_SIZE : 1));
     }
 }
--- a/src/main/java/maplerail/front/AdoptedConnection.java
+++ b/src/main/java/maplerail/front/AdoptedConnection.java
@@ -2,40 +2,43 @@
 
 import org.xnio.StreamConnection;
 
-/** A client's connection whose answer another process began: what its client does meanwhile, and how it goes on after it. */
+/**
+ * A client connection adopted from another process in the middle of a response: detects a disconnect until the response
+ * ends, and then returns the connection to its manager.
+ */
 public final class AdoptedConnection {
     private final StreamConnection connection;
-    private final ReadAheadConduit ahead;
+    private final ReadAheadConduit readAhead;
     private final ConnectionManager connections;
 
-    AdoptedConnection(StreamConnection connection, ReadAheadConduit ahead, ConnectionManager connections) {
+    AdoptedConnection(StreamConnection connection, ReadAheadConduit readAhead, ConnectionManager connections) {
         this.connection = connection;
-        this.ahead = ahead;
+        this.readAhead = readAhead;
         this.connections = connections;
     }
 
-    /** Runs a task whenever something may have come, until {@link #finish}. */
+    /** Runs a task whenever the connection may have become readable, until {@link #finish}. */
     public void watch(Runnable onReadable) {
         connection.getSourceChannel().setReadListener(c -> onReadable.run());
         connection.getSourceChannel().resumeReads();
     }
 
-    /** True if the client has ended its side, or the connection broke; looks at what has come by now. */
+    /** Reads the available input; true if the client has closed its side or the connection failed. */
     public boolean isDisconnected() {
-        return ahead.ended();
+        return readAhead.pollEnd();
     }
 
-    /** True if a further request, or a part of one, has come before the answer's end. */
-    public boolean hasSentMore() {
-        return ahead.holds();
+    /** True if the client has sent a further request, or a part of one, before the response's end. */
+    public boolean hasUnreadInput() {
+        return readAhead.hasBuffered();
     }
 
-    /** True while nothing more can be looked at. */
-    public boolean isFull() {
-        return ahead.full();
+    /** True while the read-ahead buffer is full. */
+    public boolean isBufferFull() {
+        return readAhead.isFull();
     }
 
-    /** The answer has been sent to its end; {@code closes} if the client was told that its connection ends with it. */
+    /** Reports that the response has been sent; {@code closes} if its head announced {@code Connection: close}. */
     public void finish(boolean closes) {
         connections.finish(connection, closes);
     }
--- a/src/main/java/maplerail/front/ClientConnection.java
+++ b/src/main/java/maplerail/front/ClientConnection.java
@@ -1,46 +1,49 @@
 package maplerail.front;
 
-/** What is known of one client's connection. */
+/** The state of one client connection. */
 final class ClientConnection {
-    /** What a connection is in the middle of. */
+    /** The phases of a connection. */
     enum State {
-        /** New, nothing has come on it. */
-        SILENT,
-        /** A request is on its way and not complete. */
-        ARRIVING,
-        /** A request waits for the end of its answer. */
-        OPEN,
-        /** Between two requests. */
+        /** New, without any input yet. */
+        NEW,
+        /** A request is partly received. */
+        RECEIVING,
+        /** A complete request waits for the end of its response. */
+        AWAITING_RESPONSE,
+        /** Idle between two requests. */
         IDLE,
-        /** A WebSocket, which its session looks after. */
+        /** A WebSocket, which its session manages. */
         UPGRADED,
-        /** Our side has ended; what still comes is thrown away. */
-        PARTING
+        /** The sending side is shut down; further input is discarded. */
+        CLOSING
     }
 
     State state;
-    double sinceMs;
+    double stateSinceMs;
     ReadAheadConduit readAhead;
     private long receivedBeforeDrain; // bytes
 
-    /** A connection that is in a state since a time. */
-    ClientConnection(State state, double sinceMs) {
+    /** Creates a connection that entered a state at a time. */
+    ClientConnection(State state, double stateSinceMs) {
         this.state = state;
-        this.sinceMs = sinceMs;
+        this.stateSinceMs = stateSinceMs;
     }
 
-    /** A drain has begun: looks at what has come by now. If that is more than can be looked at, all counts as come. */
-    void noteDrain() {
-        if (state == State.UPGRADED || state == State.PARTING) return;
-        readAhead.ended(); // reads what lies in the socket
-        receivedBeforeDrain = readAhead.full() ? Long.MAX_VALUE : readAhead.received();
+    /**
+     * Records the input received before a drain that begins now. If it exceeds the buffer, all input counts as before
+     * it.
+     */
+    void markDrainStart() {
+        if (state == State.UPGRADED || state == State.CLOSING) return;
+        readAhead.pollEnd(); // reads the socket's input into the buffer
+        receivedBeforeDrain = readAhead.isFull() ? Long.MAX_VALUE : readAhead.receivedBytes();
     }
 
     /**
-     * True if all that has been read by now had come when the drain began, as for a request whose head has just been read. No
-     * read takes bytes from before and after that moment together.
+     * True if everything that was read from the connection so far had been received when the drain began; called when a
+     * request's head has just been read. No single read returns bytes from both before and after that moment.
      */
-    boolean hasReadOnlyWhatCameBefore() {
-        return readAhead.consumed() <= receivedBeforeDrain;
+    boolean hasReadOnlyPreDrainInput() {
+        return readAhead.consumedBytes() <= receivedBeforeDrain;
     }
 }
--- a/src/main/java/maplerail/front/ConnectionManager.java
+++ b/src/main/java/maplerail/front/ConnectionManager.java
@@ -23,158 +23,175 @@
 import org.xnio.StreamConnection;
 
 /**
- * Manages the connections that clients have open at one listener: since when each is in which state. Ends those that say
- * nothing, or begin a request and do not complete it, makes room by ending those that have long been idle, and ends each with
- * its answer while clients are sent away. A client that held a descriptor for nothing would keep others and engines out.
+ * Manages the client connections of one listener and their states. Closes connections that send nothing or do not
+ * complete a request in time, closes idle ones while connections are scarce, and in a drain closes each after its
+ * response. Connections that occupy descriptors without use would lock out other clients and engines.
  */
 public final class ConnectionManager implements ChannelListener<StreamConnection> {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionManager.class);
-    /** From the connection's start, or its request's first byte, until the request must be whole. */
-    private static final double ARRIVE_MS = 2_500;
+    /** From the connection's start, or its request's first byte, until the request must be complete. */
+    private static final double REQUEST_TIMEOUT_MS = 2_500;
 
-    /** The same once incomplete requests are refused: one that has come whole and waits for its turn is still read. */
-    private static final double DRAINING_ARRIVE_MS = 200;
+    /** The same once a drain rejects incomplete requests: a complete one that is not read yet must still be read. */
+    private static final double DRAINING_REQUEST_TIMEOUT_MS = 200;
 
-    private static final double IDLE_MS = 2_000; // for which a client may rely on an idle connection
-    private static final double SILENT_MS = 200; // for which a new one may be silent while room is short
-    private static final double LONG_IDLE_MS = 30_000;
-    private static final double SWEEP_MS = 50;
-    private static final byte[] TOO_LATE = ("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n"
+    private static final double MIN_IDLE_MS = 2_000; // for which a client can rely on an idle connection
+    private static final double MIN_NEW_MS = 200; // for which a new one may send nothing while connections are scarce
+    private static final double MAX_IDLE_MS = 30_000;
+    private static final double SWEEP_INTERVAL_MS = 50;
+    private static final byte[] REQUEST_TIMEOUT_RESPONSE = ("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n"
                     + "Connection: close\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] DRAINING = ("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"
+    private static final byte[] DRAINING_RESPONSE = ("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"
                     + "Connection: close\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
-    private static final int ROOM_PART = 8; // of the places: kept free by ending what is idle
-    private static final int FULL_PART = 32; // with fewer left nobody new gets in: any idle one may have to go
+    private static final int FREE_DIVISOR = 8; // one eighth of the limit is kept free by closing idle connections
 
-    private static final double PARTING_MS =
-            1_000; // after an answer that ends its connection, for the client to end it too
+    /**
+     * With less than this part of the limit free, new clients may be locked out, so recently idle connections close
+     * too.
+     */
+    private static final int NEARLY_FULL_DIVISOR = 32;
 
-    /** After an answer in a drain, for the request that its client sends as soon as the answer has ended. */
+    private static final double CLOSE_TIMEOUT_MS = 1_000; // after the final response, for the client to close its side
+
+    /** After a response in a drain, for a request that the client sends immediately after the response's end. */
     private static final double LINGER_MS = 20;
 
     private final ChannelListener<StreamConnection> next;
     private final EventLoop loop;
-    private final int most;
+    private final int maxConnections;
     private final DrainSchedule drain;
     private final Metrics metrics;
     private final Map<StreamConnection, ClientConnection> clients = new LinkedHashMap<>();
     private final DrainBoundary drainBoundary;
     private boolean sweeping;
 
-    /** Creates a manager before a server's listener, for at most so many connections at once. */
+    /**
+     * Creates a manager for the connections of one listener.
+     *
+     * @param next receives each connection after it was registered
+     * @param maxConnections the listener's connection limit
+     */
     public ConnectionManager(
-            ChannelListener<StreamConnection> next, EventLoop loop, int most, DrainSchedule drain, Metrics metrics) {
+            ChannelListener<StreamConnection> next,
+            EventLoop loop,
+            int maxConnections,
+            DrainSchedule drain,
+            Metrics metrics) {
         this.next = next;
         this.loop = loop;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.drain = drain;
         this.drainBoundary = new DrainBoundary(drain);
         this.metrics = metrics;
     }
 
     /**
-     * The listener has accepted all that came, or as many as it may. To be called before any of them is let in, and when a
-     * drain begins.
+     * Reports that the listener has emptied its backlog or reached its limit. To be called before any of the accepted
+     * connections is admitted, and when a drain begins.
      *
-     * @param waiting the connections that are accepted and not let in
+     * @param waiting the connections that are accepted and not admitted yet
      */
     public void onAccepted(Collection<StreamConnection> waiting) {
-        // XNIO stops at the limit, or one short of it if nobody came just then.
-        boolean mayHaveStopped = clients.size() + waiting.size() >= most - 1;
-        drainBoundary.onAccepted(waiting, clients.values(), mayHaveStopped);
+        // XNIO stops at the limit, or one short of it if no connection was pending at that moment.
+        boolean mayBeFull = clients.size() + waiting.size() >= maxConnections - 1;
+        drainBoundary.onAccepted(waiting, clients.values(), mayBeFull);
     }
 
     @Override
     public void handleEvent(StreamConnection connection) {
-        drainBoundary.onAdmitted(connection, open(connection, State.SILENT));
+        drainBoundary.onAdmitted(connection, register(connection, State.NEW));
         next.handleEvent(connection);
     }
 
-    private ClientConnection open(StreamConnection connection, State state) {
+    private ClientConnection register(StreamConnection connection, State state) {
         ClientConnection client = new ClientConnection(state, loop.nowMs());
         clients.put(connection, client);
-        client.readAhead = new ReadAheadConduit(connection.getSourceChannel().getConduit(), () -> onBytes(client));
+        client.readAhead = new ReadAheadConduit(connection.getSourceChannel().getConduit(), () -> onInput(client));
         connection.getSourceChannel().setConduit(client.readAhead);
-        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::sweep);
         sweeping = true;
         return client;
     }
 
-    /** The first byte of what comes: a connection with a request on its way does not count as idle. */
-    private void onBytes(ClientConnection client) {
-        // A new connection's time to get its request in runs from its start: it may be fed a byte at a time.
-        if (client.state == State.IDLE) client.sinceMs = loop.nowMs();
-        if (client.state == State.IDLE || client.state == State.SILENT) client.state = State.ARRIVING;
+    /** Input on a connection: while a request is being received, it does not count as idle. */
+    private void onInput(ClientConnection client) {
+        // A new connection's request timeout runs from the connection's start, as input may arrive a byte at a time.
+        if (client.state == State.IDLE) client.stateSinceMs = loop.nowMs();
+        if (client.state == State.IDLE || client.state == State.NEW) client.state = State.RECEIVING;
     }
 
     /**
-     * A request's head is whole; its connection is idle again once the request is answered to the last byte. While clients
-     * are sent away it ends soon after the answer, unless more comes on it, which is owed an answer as well. The response's
-     * head announces that, but not of a stream whose request was sent before: its client may send behind it until it ends.
+     * Reports that a request's head is complete; its connection becomes idle once the response has been sent. In a
+     * drain it closes shortly after the response, unless more input follows, which has to be answered as well. The
+     * response's head announces the close, except for a stream whose request was sent before the drain: its client may
+     * send further requests until the stream ends.
      */
     public void onRequestHead(HttpServerExchange exchange) {
-        boolean sentBefore = client(exchange).map(drainBoundary::isBefore).orElse(true);
+        boolean sentBeforeDrain =
+                client(exchange).map(drainBoundary::isSentBeforeDrain).orElse(true);
         exchange.addResponseCommitListener(committed -> {
             boolean isStream = committed.getResponseContentLength() < 0;
-            if (drain.isDraining() && !(sentBefore && isStream)) announceEnd(committed);
+            if (drain.isDraining() && !(sentBeforeDrain && isStream)) announceClose(committed);
         });
         exchange.addExchangeCompleteListener((done, proceed) -> {
-            set(done, !done.isPersistent() ? State.PARTING : isNextBuffered(done) ? State.ARRIVING : State.IDLE);
+            setState(
+                    done,
+                    !done.isPersistent() ? State.CLOSING : isNextRequestBuffered(done) ? State.RECEIVING : State.IDLE);
             proceed.proceed();
-            if (drain.isDraining()) client(done).ifPresent(client -> endAfterLinger(connection(done), client));
+            if (drain.isDraining()) client(done).ifPresent(client -> closeAfterLinger(connection(done), client));
         });
     }
 
-    private void announceEnd(HttpServerExchange exchange) {
+    private void announceClose(HttpServerExchange exchange) {
         client(exchange)
-                .filter(client -> !hasMore(exchange, client))
+                .filter(client -> !hasMoreInput(exchange, client))
                 .ifPresent(client -> exchange.setPersistent(false));
     }
 
-    private static boolean hasMore(HttpServerExchange exchange, ClientConnection client) {
-        return isNextBuffered(exchange) || !client.readAhead.ended() && client.readAhead.holds();
+    private static boolean hasMoreInput(HttpServerExchange exchange, ClientConnection client) {
+        return isNextRequestBuffered(exchange) || !client.readAhead.pollEnd() && client.readAhead.hasBuffered();
     }
 
-    private static boolean isNextBuffered(HttpServerExchange exchange) {
+    private static boolean isNextRequestBuffered(HttpServerExchange exchange) {
         return exchange.getConnection() instanceof HttpServerConnection http && http.getExtraBytes() != null;
     }
 
-    /** Ends a connection that stays idle after its answer. */
-    private void endAfterLinger(StreamConnection connection, ClientConnection client) {
-        double idleSinceMs = client.sinceMs;
+    /** Closes a connection that stays idle after its response. */
+    private void closeAfterLinger(StreamConnection connection, ClientConnection client) {
+        double idleSinceMs = client.stateSinceMs;
         loop.schedule(loop.nowMs() + LINGER_MS, () -> {
-            if (client.state != State.IDLE || client.sinceMs != idleSinceMs || !quiet(client)) return;
+            if (client.state != State.IDLE || client.stateSinceMs != idleSinceMs || !hasNoInput(client)) return;
             try {
                 metrics.count(EventCount.CONNECTIONS_CLOSED_DRAINING);
-                part(connection, client);
+                shutdownOutput(connection, client);
             } catch (IOException e) {
-                LOG.debug("a client's connection failed", e);
+                LOG.debug("client connection failed", e);
                 IoUtils.safeClose(connection);
             }
         });
     }
 
-    /** A request is whole: its connection stays until it is answered. */
+    /** Reports that a request is complete: its connection stays open until the response ends. */
     public void onRequestComplete(HttpServerExchange exchange) {
-        set(exchange, State.OPEN);
+        setState(exchange, State.AWAITING_RESPONSE);
     }
 
-    /** The connection is no longer one of requests and answers; whoever took it over looks after it. */
+    /** Reports that the connection was upgraded from HTTP; the component that took it over manages it. */
     public void onUpgraded(HttpServerExchange exchange) {
-        set(exchange, State.UPGRADED);
+        setState(exchange, State.UPGRADED);
     }
 
-    private void set(HttpServerExchange exchange, State state) {
+    private void setState(HttpServerExchange exchange, State state) {
         client(exchange).ifPresent(client -> {
             client.state = state;
-            client.sinceMs = loop.nowMs();
-            if (state == State.PARTING) client.readAhead.discard();
+            client.stateSinceMs = loop.nowMs();
+            if (state == State.CLOSING) client.readAhead.discard();
         });
     }
 
-    /** The connection of an exchange, while it is one of requests and answers. */
+    /** The connection of an exchange; empty if it was upgraded or is no longer managed here. */
     private Optional<ClientConnection> client(HttpServerExchange exchange) {
         return Optional.ofNullable(connection(exchange))
                 .map(clients::get)
@@ -186,80 +203,86 @@
     }
 
     /**
-     * True if nothing has come on a connection that waits for a request. Guards against a loop that is behind: what came
-     * before the connection's end is a request that was taken, and has its answer.
+     * True if no input has arrived on a connection that waits for a request. Checked before a close because the loop
+     * may be late: input that arrived before the close belongs to an accepted request, which must be answered.
      */
-    private boolean quiet(ClientConnection client) {
-        if (client.readAhead.ended() || !client.readAhead.holds()) return true;
-        onBytes(client);
+    private boolean hasNoInput(ClientConnection client) {
+        if (client.readAhead.pollEnd() || !client.readAhead.hasBuffered()) return true;
+        onInput(client);
         return false;
     }
 
     private void sweep() {
         double now = loop.nowMs();
         clients.keySet().removeIf(connection -> !connection.isOpen());
-        List<StreamConnection> ended = new ArrayList<>();
+        List<StreamConnection> expired = new ArrayList<>();
         clients.forEach((connection, client) -> {
-            double age = now - client.sinceMs;
-            boolean late = switch (client.state) {
-                case SILENT -> age >= ARRIVE_MS && quiet(client);
-                case ARRIVING -> age >= (drain.isRejectingIncomplete() ? DRAINING_ARRIVE_MS : ARRIVE_MS);
-                case IDLE -> age >= LONG_IDLE_MS && quiet(client);
-                case PARTING -> age >= PARTING_MS;
+            double age = now - client.stateSinceMs;
+            boolean isExpired = switch (client.state) {
+                case NEW -> age >= REQUEST_TIMEOUT_MS && hasNoInput(client);
+                case RECEIVING ->
+                    age >= (drain.isRejectingIncomplete() ? DRAINING_REQUEST_TIMEOUT_MS : REQUEST_TIMEOUT_MS);
+                case IDLE -> age >= MAX_IDLE_MS && hasNoInput(client);
+                case CLOSING -> age >= CLOSE_TIMEOUT_MS;
                 default -> false;
             };
-            if (late) ended.add(connection);
+            if (isExpired) expired.add(connection);
         });
-        ended.forEach(this::evict);
-        end(State.PARTING, 0, now);
-        end(State.IDLE, clients.size() >= most - most / FULL_PART ? SILENT_MS : IDLE_MS, now);
-        end(State.SILENT, SILENT_MS, now);
+        expired.forEach(this::evict);
+        freeConnections(State.CLOSING, 0, now);
+        freeConnections(
+                State.IDLE,
+                clients.size() >= maxConnections - maxConnections / NEARLY_FULL_DIVISOR ? MIN_NEW_MS : MIN_IDLE_MS,
+                now);
+        freeConnections(State.NEW, MIN_NEW_MS, now);
         sweeping = !clients.isEmpty();
-        if (sweeping) loop.schedule(now + SWEEP_MS, this::sweep);
+        if (sweeping) loop.schedule(now + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     private void evict(StreamConnection connection) {
         ClientConnection client = clients.get(connection);
-        if (client.state == State.ARRIVING) {
+        if (client.state == State.RECEIVING) {
             try {
                 boolean draining = drain.isRejectingIncomplete();
-                connection.getSinkChannel().write(ByteBuffer.wrap(draining ? DRAINING : TOO_LATE));
+                connection
+                        .getSinkChannel()
+                        .write(ByteBuffer.wrap(draining ? DRAINING_RESPONSE : REQUEST_TIMEOUT_RESPONSE));
                 metrics.count(
                         draining
                                 ? EventCount.CONNECTIONS_CLOSED_DRAINING
                                 : EventCount.CONNECTIONS_CLOSED_REQUEST_TIMEOUT);
-                part(connection, client);
+                shutdownOutput(connection, client);
                 return;
             } catch (IOException e) {
-                LOG.debug("a client's connection failed", e); // it is ended next
+                LOG.debug("client connection failed", e); // closed below
             }
         }
         metrics.count(
-                client.state == State.PARTING
+                client.state == State.CLOSING
                         ? EventCount.CONNECTIONS_CLOSED_AFTER_ANSWER
                         : EventCount.CONNECTIONS_CLOSED_IDLE);
         clients.remove(connection);
         IoUtils.safeClose(connection);
     }
 
-    /** Ends our side; what still comes is thrown away, so that no reset takes the answer with it. */
-    private void part(StreamConnection connection, ClientConnection client) throws IOException {
+    /** Shuts down the sending side and discards further input, as a reset over unread input would lose the response. */
+    private void shutdownOutput(StreamConnection connection, ClientConnection client) throws IOException {
         connection.getSinkChannel().shutdownWrites();
         connection.getSinkChannel().flush();
-        client.state = State.PARTING;
-        client.sinceMs = loop.nowMs();
+        client.state = State.CLOSING;
+        client.stateSinceMs = loop.nowMs();
         client.readAhead.discard();
     }
 
-    /** While room is short, ends those that have been in a state for the longest. */
-    private void end(State state, double leastMs, double now) {
-        int over = clients.size() - (most - most / ROOM_PART);
-        if (over <= 0) return;
+    /** While connections are scarce, closes those that have been in a state for the longest. */
+    private void freeConnections(State state, double minAgeMs, double now) {
+        int excess = clients.size() - (maxConnections - maxConnections / FREE_DIVISOR);
+        if (excess <= 0) return;
         clients.entrySet().stream()
-                .filter(e -> e.getValue().state == state && now - e.getValue().sinceMs >= leastMs)
-                .sorted((a, b) -> Double.compare(a.getValue().sinceMs, b.getValue().sinceMs))
-                .filter(e -> quiet(e.getValue()))
-                .limit(over)
+                .filter(e -> e.getValue().state == state && now - e.getValue().stateSinceMs >= minAgeMs)
+                .sorted((a, b) -> Double.compare(a.getValue().stateSinceMs, b.getValue().stateSinceMs))
+                .filter(e -> hasNoInput(e.getValue()))
+                .limit(excess)
                 .map(Map.Entry::getKey)
                 .toList()
                 .forEach(connection -> {
@@ -268,12 +291,12 @@
                 });
     }
 
-    /** Ends the connections on which nothing is open or on its way, for a program that is about to stop. */
+    /** Closes the connections without an open or partly received request, for a process that is about to stop. */
     public void closeIdle() {
         List<StreamConnection> idle = new ArrayList<>();
         clients.forEach((connection, client) -> {
-            boolean isIdle = client.state == State.IDLE && !lingers(client) || client.state == State.SILENT;
-            if (isIdle && quiet(client)) idle.add(connection);
+            boolean isIdle = client.state == State.IDLE && !isLingering(client) || client.state == State.NEW;
+            if (isIdle && hasNoInput(client)) idle.add(connection);
         });
         idle.forEach(connection -> {
             metrics.count(EventCount.CONNECTIONS_CLOSED_DRAINING);
@@ -281,56 +304,58 @@
         });
     }
 
-    /** True while a connection whose answer has just ended is kept for the request that may follow at once. */
-    private boolean lingers(ClientConnection client) {
-        return client.state == State.IDLE && drain.isDraining() && loop.nowMs() - client.sinceMs < LINGER_MS;
+    /** True while a connection whose response has just ended stays open for a request that may follow immediately. */
+    private boolean isLingering(ClientConnection client) {
+        return client.state == State.IDLE && drain.isDraining() && loop.nowMs() - client.stateSinceMs < LINGER_MS;
     }
 
-    /** Ends all connections: the worker's end alone would leave them open. */
+    /** Closes all connections: stopping the worker alone would leave them open. */
     public void close() {
         List.copyOf(clients.keySet()).forEach(IoUtils::safeClose);
     }
 
-    /** A connection that another process goes on with: it is not ended with the others here. */
+    /** Removes a connection that another process continues, so that {@link #close} leaves it open. */
     public void unregister(StreamConnection connection) {
         clients.remove(connection);
     }
 
-    /** A connection whose answer another process began and this one goes on with. */
+    /** Registers a connection that this process continues in the middle of a response begun by another process. */
     public AdoptedConnection adopt(StreamConnection connection) {
-        ClientConnection client = open(connection, State.OPEN);
+        ClientConnection client = register(connection, State.AWAITING_RESPONSE);
         return new AdoptedConnection(connection, client.readAhead, this);
     }
 
-    /** The answer that another process began has ended: its connection is idle, as after any answer, or ends. */
+    /**
+     * The response of an adopted connection has ended: the connection becomes idle, as after any response, or closes.
+     */
     void finish(StreamConnection connection, boolean closes) {
         ClientConnection client = clients.get(connection);
-        if (client == null || client.readAhead.ended()) {
+        if (client == null || client.readAhead.pollEnd()) {
             IoUtils.safeClose(connection);
         } else if (closes) {
-            endAdopted(connection, client);
+            closeAdopted(connection, client);
         } else {
-            client.state = client.readAhead.holds() ? State.ARRIVING : State.IDLE;
-            client.sinceMs = loop.nowMs();
+            client.state = client.readAhead.hasBuffered() ? State.RECEIVING : State.IDLE;
+            client.stateSinceMs = loop.nowMs();
             next.handleEvent(connection);
-            if (drain.isDraining()) endAfterLinger(connection, client);
+            if (drain.isDraining()) closeAfterLinger(connection, client);
         }
     }
 
-    private void endAdopted(StreamConnection connection, ClientConnection client) {
+    private void closeAdopted(StreamConnection connection, ClientConnection client) {
         try {
-            part(connection, client);
+            shutdownOutput(connection, client);
             connection.getSourceChannel().setReadListener(source -> {
-                if (client.readAhead.ended()) IoUtils.safeClose(connection);
+                if (client.readAhead.pollEnd()) IoUtils.safeClose(connection);
             });
             connection.getSourceChannel().resumeReads();
         } catch (IOException e) {
-            LOG.debug("a client's connection failed", e);
+            LOG.debug("client connection failed", e);
             IoUtils.safeClose(connection);
         }
     }
 
-    /** Connections on which a request is open or on its way, or may follow at once. */
+    /** The number of connections on which a request is open or partly received, or may follow immediately. */
     public int busyCount() {
         return (int) clients.entrySet().stream()
                 .filter(e -> e.getKey().isOpen() && isBusy(e.getValue()))
@@ -338,10 +363,10 @@
     }
 
     private boolean isBusy(ClientConnection client) {
-        return client.state == State.OPEN || client.state == State.ARRIVING || lingers(client);
+        return client.state == State.AWAITING_RESPONSE || client.state == State.RECEIVING || isLingering(client);
     }
 
-    /** Connections in all. */
+    /** The number of open connections. */
     public int openCount() {
         return (int) clients.keySet().stream().filter(StreamConnection::isOpen).count();
     }
--- a/src/main/java/maplerail/front/DisconnectDetector.java
+++ b/src/main/java/maplerail/front/DisconnectDetector.java
@@ -4,50 +4,50 @@
 import io.undertow.server.protocol.http.HttpServerConnection;
 import java.util.function.BooleanSupplier;
 
-/** Notices that a client leaves while it waits for its answer: it has ended its side, whatever it sent before. */
+/** Detects that a client closes its side while it waits for a response, even if it has sent further input before. */
 public final class DisconnectDetector {
     private DisconnectDetector() {}
 
     /**
-     * Between a request and its answer nothing is read from a client, so nobody would see it leave: looks for the end
-     * of its side until {@code over}.
+     * Watches for a disconnect until {@code isFinished}. The server itself reads nothing between a request and the end
+     * of its response, and would not detect one.
      */
-    public static void watch(HttpServerExchange exchange, BooleanSupplier over, Runnable left) {
-        ReadAheadConduit ahead = ahead(exchange);
-        if (ahead == null) return;
+    public static void watch(HttpServerExchange exchange, BooleanSupplier isFinished, Runnable onDisconnect) {
+        ReadAheadConduit conduit = readAhead(exchange);
+        if (conduit == null) return;
         ((HttpServerConnection) exchange.getConnection())
                 .getChannel()
                 .getSourceChannel()
                 .setReadListener(c -> {
-                    // What has come is the next request's: the server reads it after this one.
-                    if (over.getAsBoolean()) ahead.suspendReads();
-                    else if (ahead.ended()) left.run();
-                    else if (ahead.full()) ahead.suspendReads();
+                    // The input belongs to the next request, which the server reads after this one.
+                    if (isFinished.getAsBoolean()) conduit.suspendReads();
+                    else if (conduit.pollEnd()) onDisconnect.run();
+                    else if (conduit.isFull()) conduit.suspendReads();
                 });
-        ahead.resumeReads();
+        conduit.resumeReads();
     }
 
-    /** True if the client has left by now, though its end may not have had its turn on the loop. */
-    public static boolean gone(HttpServerExchange exchange) {
-        return of(exchange).getAsBoolean();
+    /** True if the client has disconnected, even if the loop has not processed that yet. */
+    public static boolean isDisconnected(HttpServerExchange exchange) {
+        return disconnectCheck(exchange).getAsBoolean();
     }
 
-    /** The same for the client of a connection that goes on as something else, for as long as it lasts. */
-    public static BooleanSupplier of(HttpServerExchange exchange) {
-        ReadAheadConduit ahead = ahead(exchange);
-        return ahead == null ? () -> false : ahead::ended;
+    /** The same check for repeated use, valid after an upgrade of the connection. */
+    public static BooleanSupplier disconnectCheck(HttpServerExchange exchange) {
+        ReadAheadConduit conduit = readAhead(exchange);
+        return conduit == null ? () -> false : conduit::pollEnd;
     }
 
-    /** True if something has come behind the request that nobody has read. */
-    public static boolean early(HttpServerExchange exchange) {
-        ReadAheadConduit ahead = ahead(exchange);
-        return ahead != null && ahead.holds();
+    /** True if input after the request was received and is not read yet. */
+    public static boolean hasUnreadInput(HttpServerExchange exchange) {
+        ReadAheadConduit conduit = readAhead(exchange);
+        return conduit != null && conduit.hasBuffered();
     }
 
-    private static ReadAheadConduit ahead(HttpServerExchange exchange) {
+    private static ReadAheadConduit readAhead(HttpServerExchange exchange) {
         return exchange.getConnection() instanceof HttpServerConnection connection
-                        && connection.getOriginalSourceConduit() instanceof ReadAheadConduit ahead
-                ? ahead
+                        && connection.getOriginalSourceConduit() instanceof ReadAheadConduit conduit
+                ? conduit
                 : null;
     }
 }
--- a/src/main/java/maplerail/front/ReadAheadConduit.java
+++ b/src/main/java/maplerail/front/ReadAheadConduit.java
@@ -10,141 +10,142 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * What a client sends, which can be looked at before anybody reads it. Guards against a client whose end nobody sees
- * because bytes that it sent before lie in front of it, or because the loop has yet to come to it.
+ * Buffers a client's input ahead of its reader, so that the end of the input is detected even behind unread bytes or
+ * before the loop processes the readable event.
  */
 final class ReadAheadConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
-    private static final int MOST = 64 * 1024; // bytes kept for whoever reads them; what is behind waits at its sender
-    private static final int PIECE = 1024;
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
-
-    private final Runnable came;
-    private ByteBuffer early = NOTHING; // from its position to its limit: looked at and not read
-    private long received; // bytes, but for those thrown away
+    private static final int MAX_BUFFERED_BYTES =
+            64 * 1024; // further input stays in the socket: back-pressure on the client
+    private static final int READ_BYTES = 1024;
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+
+    private final Runnable onRead;
+    private ByteBuffer buffered = EMPTY; // from its position to its limit: received and not read yet
+    private long receivedBytes; // without discarded bytes
     private boolean ended;
     private boolean discarding;
 
-    /** {@code came} hears of each piece that is read. */
-    ReadAheadConduit(StreamSourceConduit from, Runnable came) {
-        super(from);
-        this.came = came;
+    /** Creates a conduit that calls {@code onRead} each time bytes are read from it. */
+    ReadAheadConduit(StreamSourceConduit source, Runnable onRead) {
+        super(source);
+        this.onRead = onRead;
     }
 
-    /** True if the client has ended its side, or the connection broke; looks at what has come by now. */
-    boolean ended() {
-        if (discarding) return endedWhileDiscarding();
-        int before = early.remaining();
+    /** Reads the available input into the buffer; true if the client has closed its side or the connection failed. */
+    boolean pollEnd() {
+        if (discarding) return pollEndWhileDiscarding();
+        int bufferedBefore = buffered.remaining();
         try {
-            while (!ended && early.remaining() < MOST) {
-                ByteBuffer piece = ByteBuffer.allocate(PIECE);
-                int count = receive(piece);
+            while (!ended && buffered.remaining() < MAX_BUFFERED_BYTES) {
+                ByteBuffer chunk = ByteBuffer.allocate(READ_BYTES);
+                int count = receive(chunk);
                 if (count < 0) ended = true;
                 if (count <= 0) break;
-                keep(piece.flip());
+                buffer(chunk.flip());
             }
         } catch (IOException e) {
             ended = true;
         }
-        // Whoever waits for bytes would hear nothing of those that lie here.
-        if (isReadResumed() && (ended || early.remaining() > before)) next.wakeupReads();
+        // The source does not signal buffered bytes, so a waiting reader is woken up here.
+        if (isReadResumed() && (ended || buffered.remaining() > bufferedBefore)) next.wakeupReads();
         return ended;
     }
 
     private int receive(ByteBuffer into) throws IOException {
         int count = next.read(into);
-        if (count > 0) received += count;
+        if (count > 0) receivedBytes += count;
         return count;
     }
 
     /**
-     * Nobody reads on: what still comes is thrown away. Guards against an end over bytes that nobody has read, which is a
-     * reset, and takes what the client has yet to read of its answer with it.
+     * Discards all further input. Closing a socket with unread input sends a reset, and the client loses the part of
+     * the response that it has not read yet.
      */
     void discard() {
         discarding = true;
-        early = NOTHING;
+        buffered = EMPTY;
     }
 
-    private boolean endedWhileDiscarding() {
+    private boolean pollEndWhileDiscarding() {
         try {
-            throwAway();
+            discardAvailable();
         } catch (IOException e) {
             ended = true;
         }
         return ended;
     }
 
-    private int throwAway() throws IOException {
-        ByteBuffer piece = ByteBuffer.allocate(PIECE);
-        for (int read = 0; !ended && read < MOST; read += piece.position()) {
-            int count = next.read(piece.clear());
+    private int discardAvailable() throws IOException {
+        ByteBuffer chunk = ByteBuffer.allocate(READ_BYTES);
+        for (int read = 0; !ended && read < MAX_BUFFERED_BYTES; read += chunk.position()) {
+            int count = next.read(chunk.clear());
             if (count < 0) ended = true;
             if (count <= 0) break;
         }
         return ended ? -1 : 0;
     }
 
-    private void keep(ByteBuffer piece) {
-        if (early.capacity() - early.limit() < piece.remaining()) {
+    private void buffer(ByteBuffer chunk) {
+        if (buffered.capacity() - buffered.limit() < chunk.remaining()) {
             ByteBuffer larger =
-                    ByteBuffer.allocate(Math.max(2 * early.remaining(), early.remaining() + piece.remaining()));
-            early = larger.put(early).flip();
+                    ByteBuffer.allocate(Math.max(2 * buffered.remaining(), buffered.remaining() + chunk.remaining()));
+            buffered = larger.put(buffered).flip();
         }
-        int from = early.position();
-        early.position(early.limit()).limit(early.limit() + piece.remaining());
-        early.put(piece).position(from);
+        int start = buffered.position();
+        buffered.position(buffered.limit()).limit(buffered.limit() + chunk.remaining());
+        buffered.put(chunk).position(start);
     }
 
-    /** The number of bytes that have come so far, whether anybody has read them or not. */
-    long received() {
-        return received;
+    /** The number of bytes received so far, including buffered ones. */
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    /** The number of bytes that have been read. */
-    long consumed() {
-        return received - early.remaining();
+    /** The number of bytes that were read from this conduit. */
+    long consumedBytes() {
+        return receivedBytes - buffered.remaining();
     }
 
-    /** True while as much lies here as may. */
-    boolean full() {
-        return early.remaining() >= MOST;
+    /** True while the buffer is full. */
+    boolean isFull() {
+        return buffered.remaining() >= MAX_BUFFERED_BYTES;
     }
 
-    /** True while something lies here that nobody has read. */
-    boolean holds() {
-        return early.hasRemaining();
+    /** True while the buffer contains unread bytes. */
+    boolean hasBuffered() {
+        return buffered.hasRemaining();
     }
 
     @Override
     public int read(ByteBuffer into) throws IOException {
-        if (discarding) return throwAway();
-        int count = early.hasRemaining() ? take(into) : ended ? -1 : receive(into);
-        if (count > 0) came.run();
+        if (discarding) return discardAvailable();
+        int count = buffered.hasRemaining() ? copyBuffered(into) : ended ? -1 : receive(into);
+        if (count > 0) onRead.run();
         return count;
     }
 
     @Override
     public long read(ByteBuffer[] into, int offset, int length) throws IOException {
-        if (discarding) return throwAway();
-        if (!early.hasRemaining() && !ended) {
+        if (discarding) return discardAvailable();
+        if (!buffered.hasRemaining() && !ended) {
             long count = next.read(into, offset, length);
             if (count > 0) {
-                received += count;
-                came.run();
+                receivedBytes += count;
+                onRead.run();
             }
             return count;
         }
-        long sum = 0;
-        for (int i = offset; i < offset + length && early.hasRemaining(); i++) sum += take(into[i]);
-        if (sum > 0) came.run();
-        return sum == 0 && !early.hasRemaining() ? -1 : sum;
+        long total = 0;
+        for (int i = offset; i < offset + length && buffered.hasRemaining(); i++) total += copyBuffered(into[i]);
+        if (total > 0) onRead.run();
+        return total == 0 && !buffered.hasRemaining() ? -1 : total;
     }
 
-    private int take(ByteBuffer into) {
-        int count = Math.min(into.remaining(), early.remaining());
-        into.put(early.slice(early.position(), count));
-        early.position(early.position() + count);
-        if (!early.hasRemaining()) early = NOTHING;
+    private int copyBuffered(ByteBuffer into) {
+        int count = Math.min(into.remaining(), buffered.remaining());
+        into.put(buffered.slice(buffered.position(), count));
+        buffered.position(buffered.position() + count);
+        if (!buffered.hasRemaining()) buffered = EMPTY;
         return count;
     }
 
@@ -160,7 +161,7 @@
 
     @Override
     public void resumeReads() {
-        if (ended || early.hasRemaining()) next.wakeupReads();
+        if (ended || buffered.hasRemaining()) next.wakeupReads();
         else next.resumeReads();
     }
 }
--- a/src/main/java/maplerail/front/admin/AdminFront.java
+++ b/src/main/java/maplerail/front/admin/AdminFront.java
@@ -10,67 +10,67 @@
 import maplerail.metrics.Metrics.Figure;
 import org.xnio.IoUtils;
 
-/** Operators' calls: one for each connection, answered yes (2xx) or no (4xx, 5xx). */
+/** Serves operator calls: one per connection, with 2xx for yes and 4xx or 5xx for no. */
 final class AdminFront implements HttpHandler {
-    private static final int MOST_BODY = 1_024; // bytes; no call needs any
-    private static final String PREFIX = "gateway.";
-    private static final Map<String, HttpString> CALLS = Map.of(
+    private static final int MAX_BODY_BYTES = 1_024; // no call needs a body
+    private static final String METRIC_PREFIX = "gateway.";
+    private static final Map<String, HttpString> METHODS_BY_PATH = Map.of(
             "/_ready", Methods.GET, "/_vars", Methods.GET, "/_lameduck/on", Methods.PUT, "/_lameduck/off", Methods.PUT);
 
-    private final AdminOperations desk;
+    private final AdminOperations operations;
 
-    AdminFront(AdminOperations desk) {
-        this.desk = desk;
+    AdminFront(AdminOperations operations) {
+        this.operations = operations;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        HttpString method = CALLS.get(exchange.getRequestPath());
+        HttpString method = METHODS_BY_PATH.get(exchange.getRequestPath());
         if (method == null) {
-            say(exchange, 404, "no such call\n");
+            respond(exchange, 404, "no such call\n");
         } else if (!exchange.getRequestMethod().equals(method)) {
             exchange.getResponseHeaders().put(Headers.ALLOW, method.toString());
-            say(exchange, 405, method + " only\n");
-        } else if (exchange.getRequestContentLength() > MOST_BODY) {
-            say(exchange, 413, "the body is too large\n");
+            respond(exchange, 405, method + " only\n");
+        } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
+            respond(exchange, 413, "the body is too large\n");
         } else {
-            // A call counts once it is whole: half of one must not send clients away.
-            exchange.setMaxEntitySize(MOST_BODY);
+            // A call is executed once it is complete: an incomplete one must not start a lame duck.
+            exchange.setMaxEntitySize(MAX_BODY_BYTES);
             exchange.getRequestReceiver()
                     .receiveFullBytes(
-                            (whole, body) -> answer(whole),
-                            (broken, error) -> IoUtils.safeClose(broken.getConnection()));
+                            (received, body) -> execute(received),
+                            (failed, error) -> IoUtils.safeClose(failed.getConnection()));
         }
     }
 
-    private void answer(HttpServerExchange exchange) {
+    private void execute(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
-            case "/_ready" -> yes(exchange, desk.canServe());
-            case "/_vars" -> say(exchange, 200, statsd(desk.metricValues()));
-            case "/_lameduck/on" -> yes(exchange, desk.setLameDuck(true));
-            default -> yes(exchange, desk.setLameDuck(false));
+            case "/_ready" -> respondBoolean(exchange, operations.canServe());
+            case "/_vars" -> respond(exchange, 200, statsd(operations.metricValues()));
+            case "/_lameduck/on" -> respondBoolean(exchange, operations.setLameDuck(true));
+            default -> respondBoolean(exchange, operations.setLameDuck(false));
         }
     }
 
-    /** One line a figure, as statsd has them; what a name may not hold there is replaced. */
-    static String statsd(List<Figure> figures) {
-        StringBuilder out = new StringBuilder();
-        for (Figure figure : figures) {
-            out.append(PREFIX)
-                    .append(figure.name().replaceAll("[^0-9A-Za-z._-]", "_"))
+    /** Formats one statsd line per metric; characters that are invalid in statsd names are replaced. */
+    static String statsd(List<Figure> metrics) {
+        StringBuilder lines = new StringBuilder();
+        for (Figure metric : metrics) {
+            lines.append(METRIC_PREFIX)
+                    .append(metric.name().replaceAll("[^0-9A-Za-z._-]", "_"))
                     .append(':')
-                    .append(figure.value())
-                    .append(figure.counter() ? "|c\n" : "|g\n");
+                    .append(metric.value())
+                    .append(metric.counter() ? "|c\n" : "|g\n");
         }
-        return out.toString();
+        return lines.toString();
     }
 
-    private static void yes(HttpServerExchange exchange, boolean so) {
-        say(exchange, so ? 200 : 503, so ? "yes\n" : "no\n");
+    private static void respondBoolean(HttpServerExchange exchange, boolean success) {
+        respond(exchange, success ? 200 : 503, success ? "yes\n" : "no\n");
     }
 
-    private static void say(HttpServerExchange exchange, int status, String text) {
+    private static void respond(HttpServerExchange exchange, int status, String text) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; charset=utf-8");
         exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-store");
--- a/src/main/java/maplerail/front/admin/AdminListener.java
+++ b/src/main/java/maplerail/front/admin/AdminListener.java
@@ -21,29 +21,29 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The listener for operators, with a thread of its own: it answers while the main loop is late, which a process just
- * started is by more than a second. Guards against callers that hold connections and end no call: each has a little
- * time, and past a few of them the oldest goes, so that a new caller is never kept waiting by others.
+ * The HTTP listener for operators. It has its own thread, to respond while the main loop is late, which in a newly
+ * started process is by more than a second. Each connection has a short time limit, and at the connection limit the
+ * oldest one is closed, so that connections with incomplete calls never block a new caller.
  */
 public final class AdminListener {
-    /** Connections at once. */
-    public static final int MOST = 16;
-    /** Descriptors that the door takes in all: its connections, its listener and what its threads wait on. */
-    public static final int MAX_DESCRIPTORS = MOST + 8;
+    /** The maximum number of open connections. */
+    public static final int MAX_CONNECTIONS = 16;
+    /** The maximum number of descriptors: of connections, the listening socket and the selectors of its threads. */
+    public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 8;
 
     private static final Logger LOG = LoggerFactory.getLogger(AdminListener.class);
-    private static final long CALL_MS = 2_000; // from a connection's start to its end
-    private static final int BUFFER = 1_024;
-    private static final int MOST_HEAD = 4 * 1_024;
+    private static final long CALL_TIMEOUT_MS = 2_000; // from accept to close
+    private static final int BUFFER_BYTES = 1_024;
+    private static final int MAX_HEADER_BYTES = 4 * 1_024;
 
     private final XnioWorker worker;
     private final HttpOpenListener http;
     private final AcceptingChannel<StreamConnection> server;
-    /** Open connections, oldest first, with what ends each in time. Only the door's own thread has it. */
-    private final Map<StreamConnection, XnioExecutor.Key> callers = new LinkedHashMap<>();
+    /** Open connections, oldest first, with their timeout timers. Used on the listener's own thread only. */
+    private final Map<StreamConnection, XnioExecutor.Key> connections = new LinkedHashMap<>();
 
-    /** Opens the door at an address. */
-    public AdminListener(InetSocketAddress at, AdminOperations desk) throws IOException {
+    /** Listens at an address. */
+    public AdminListener(InetSocketAddress address, AdminOperations operations) throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_NAME, "admin")
@@ -53,15 +53,15 @@
                         .set(Options.THREAD_DAEMON, true)
                         .getMap());
         http = new HttpOpenListener(
-                new DefaultByteBufferPool(false, BUFFER, 2 * MOST, 0),
+                new DefaultByteBufferPool(false, BUFFER_BYTES, 2 * MAX_CONNECTIONS, 0),
                 OptionMap.builder()
                         .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                        .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
+                        .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
                         .getMap());
-        http.setRootHandler(new AdminFront(desk));
+        http.setRootHandler(new AdminFront(operations));
         server = worker.createStreamConnectionServer(
-                at,
-                ChannelListeners.openListenerAdapter(this::opened),
+                address,
+                ChannelListeners.openListenerAdapter(this::onConnection),
                 OptionMap.builder()
                         .set(Options.BACKLOG, 128)
                         .set(Options.TCP_NODELAY, true)
@@ -70,27 +70,27 @@
         LOG.info("operators are answered at {}", address());
     }
 
-    private void opened(StreamConnection connection) {
-        if (callers.size() >= MOST)
-            IoUtils.safeClose(callers.keySet().iterator().next());
-        callers.put(
+    private void onConnection(StreamConnection connection) {
+        if (connections.size() >= MAX_CONNECTIONS)
+            IoUtils.safeClose(connections.keySet().iterator().next());
+        connections.put(
                 connection,
                 connection
                         .getIoThread()
-                        .executeAfter(() -> IoUtils.safeClose(connection), CALL_MS, TimeUnit.MILLISECONDS));
+                        .executeAfter(() -> IoUtils.safeClose(connection), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         connection.getCloseSetter().set(closed -> {
-            XnioExecutor.Key limit = callers.remove(connection);
-            if (limit != null) limit.remove();
+            XnioExecutor.Key timeout = connections.remove(connection);
+            if (timeout != null) timeout.remove();
         });
         http.handleEvent(connection);
     }
 
-    /** Where it listens. */
+    /** The address that it listens at. */
     public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Ends it and its thread. */
+    /** Closes the listening socket and stops the thread. */
     public void close() {
         IoUtils.safeClose(server);
         worker.shutdownNow();
--- a/src/main/java/maplerail/front/admin/AdminOperations.java
+++ b/src/main/java/maplerail/front/admin/AdminOperations.java
@@ -3,14 +3,16 @@
 import java.util.List;
 import maplerail.metrics.Metrics.Figure;
 
-/** What operators may ask of the program. Called on the admin door's own thread, and answered without the main loop. */
+/**
+ * The operations available to operators. Called on the admin listener's thread; they must not wait for the main loop.
+ */
 public interface AdminOperations {
-    /** True once the program can serve, until it is told to stop. */
+    /** True once the process can serve requests, until it is asked to stop. */
     boolean canServe();
 
-    /** All figures now. */
+    /** The current values of all metrics. */
     List<Figure> metricValues();
 
-    /** Sends clients away, or takes that back; false where the program is stopping anyway. */
+    /** Enters or leaves the lame duck phase; false if the process is stopping already. */
     boolean setLameDuck(boolean on);
 }
--- a/src/main/java/maplerail/front/admin/package-info.java
+++ b/src/main/java/maplerail/front/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' HTTP address: readiness, metrics and the lame duck, on a thread of its own. */
+/** The admin HTTP endpoint for operators: readiness, metrics and lame duck, on its own thread. */
 package maplerail.front.admin;
--- a/src/main/java/maplerail/front/jsonrpc/Answers.java
+++ b/src/main/java/maplerail/front/jsonrpc/AnswerMethods.java
@@ -18,70 +18,70 @@
 import maplerail.core.RequestHandle;
 import maplerail.net.HttpRequestPayload;
 
-/** The method answers/stream: a completion from the platform's engines, by the platform's own broker. */
-final class Answers {
-    private static final double TOKEN_BYTES = 4;
-    private static final double MOST_TOKENS = 1e7;
+/** The method answers/stream: a completion that the platform's broker requests from the engines. */
+final class AnswerMethods {
+    private static final double BYTES_PER_TOKEN = 4;
+    private static final double MAX_TOKENS = 1e7;
 
     private final Broker broker;
     private Names names;
 
-    Answers(Broker broker, Names names) {
+    AnswerMethods(Broker broker, Names names) {
         this.broker = broker;
         this.names = names;
     }
 
-    void retune(Names to) {
-        names = to;
+    void updateNames(Names newNames) {
+        names = newNames;
     }
 
-    RequestHandle start(RpcMessage message, String team, Session.Pending pending) {
+    RequestHandle start(RpcMessage message, String team, Session.PendingRequest pending) {
         Tree params = Session.params(message);
-        String kind = params.need("kind").text();
-        int place = names.classes().indexOf(kind);
-        if (place < 0) throw new ConfigException("params.kind: unknown value '" + kind + "'");
+        String className = params.need("kind").text();
+        int requestClass = names.classes().indexOf(className);
+        if (requestClass < 0) throw new ConfigException("params.kind: unknown value '" + className + "'");
         int tenant = names.tenants().isEmpty() ? 0 : names.tenants().indexOf(team);
         if (tenant < 0) throw new ConfigException("this team is no tenant of the deployment");
         if (!params.need("body").isObject()) throw new ConfigException("params.body: not an object");
         byte[] body = Json.fields(message.params()).get("body").getBytes(StandardCharsets.UTF_8);
-        double deadlineMs = figure(params.need("deadline_ms"), 3_600_000);
-        double prompt = params.at("prompt_len").present()
-                ? figure(params.at("prompt_len"), MOST_TOKENS)
-                : body.length / TOKEN_BYTES;
-        double most = params.at("max_out").present() ? figure(params.at("max_out"), MOST_TOKENS) : 0;
+        double deadlineMs = positiveNumber(params.need("deadline_ms"), 3_600_000);
+        double promptTokens = params.at("prompt_len").present()
+                ? positiveNumber(params.at("prompt_len"), MAX_TOKENS)
+                : body.length / BYTES_PER_TOKEN;
+        double maxOutputTokens = params.at("max_out").present() ? positiveNumber(params.at("max_out"), MAX_TOKENS) : 0;
         String key = params.at("key").text("");
         String id = UUID.randomUUID().toString();
         List<Map.Entry<HttpString, String>> headers = new ArrayList<>();
-        add(headers, "Req-Id", id);
-        add(headers, "Req-Kind", kind);
-        add(headers, "Req-Owner", team);
-        if (key.matches("[0-9A-Za-z._~-]{1,128}")) add(headers, "Req-Key", key);
+        addHeader(headers, "Req-Id", id);
+        addHeader(headers, "Req-Kind", className);
+        addHeader(headers, "Req-Owner", team);
+        if (key.matches("[0-9A-Za-z._~-]{1,128}")) addHeader(headers, "Req-Key", key);
         headers.add(new SimpleImmutableEntry<>(Headers.CONTENT_TYPE, "application/json"));
-        InferenceRequest ask = new InferenceRequest(
+        InferenceRequest request = new InferenceRequest(
                 id,
-                place,
+                requestClass,
                 tenant,
                 EngineIds.key(key),
-                prompt,
+                promptTokens,
                 0,
                 0,
                 deadlineMs,
-                most,
+                maxOutputTokens,
                 0,
                 false,
                 body.length,
                 new HttpRequestPayload(io.undertow.util.Methods.POST, "/v1/chat/completions", headers, body));
-        return broker.submit(ask, new AnswerCaller(pending));
+        return broker.submit(request, new AnswerResponse(pending));
     }
 
-    private static double figure(Tree number, double most) {
+    private static double positiveNumber(Tree number, double max) {
         double value = number.number();
-        if (!(value > 0 && value <= most))
-            throw new ConfigException(number.path() + ": not above 0 and up to " + (long) most);
+        if (!(value > 0 && value <= max))
+            throw new ConfigException(number.path() + ": not above 0 and up to " + (long) max);
         return value;
     }
 
-    private static void add(List<Map.Entry<HttpString, String>> to, String name, String value) {
-        to.add(new SimpleImmutableEntry<>(new HttpString(name), value));
+    private static void addHeader(List<Map.Entry<HttpString, String>> headers, String name, String value) {
+        headers.add(new SimpleImmutableEntry<>(new HttpString(name), value));
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/EventStream.java
+++ b/src/main/java/maplerail/front/jsonrpc/EventStream.java
@@ -13,31 +13,37 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * What one POST is answered with: a JSON text if the answer is there at once, else a stream of events that a client
- * that lost its connection may take up again. Messages are numbered as they are said, so it hears each of them once.
+ * The response to one POST: plain JSON if it is available immediately or the client accepts no events, else an event
+ * stream that a client can resume after a lost connection. Messages are numbered in order, so that each is delivered
+ * once.
  */
-final class EventStream implements Sink {
-    private static final int MOST_MESSAGES = 128; // kept for a client that comes again
-    private static final int MOST_CHARS = 64 * 1024;
-    private static final int SLOW_BYTES = 64 * 1024; // not taken by the client: streams wait
-    private static final int DEAD_BYTES = 1024 * 1024; // not taken by the client: its connection is given up
+final class EventStream implements MessageSender {
+    private static final int MAX_REPLAY_MESSAGES = 128; // buffered for a client that resumes
+    private static final int MAX_REPLAY_CHARS = 64 * 1024;
+    private static final int PAUSE_BYTES = 64 * 1024; // unsent bytes from which streams are paused
+    private static final int MAX_UNSENT_BYTES = 1024 * 1024; // beyond which the connection is closed
 
     private final long number;
     private final ReplayBuffer replay;
-    private final Runnable goOn;
-    private final Runnable lost;
-    private String early;
-    private boolean json;
-    private boolean begun;
+    private final Runnable onWritable;
+    private final Runnable onConnectionLost;
+    private String immediateResponse;
+    private boolean jsonOnly;
+    private boolean started;
     private boolean finished;
-    private Out out;
-
-    /** {@code goOn}: a slow client has caught up; {@code lost}: its connection has ended before the answer. */
-    EventStream(long number, ReplayBuffer.Budget budget, Runnable goOn, Runnable lost) {
+    private Connection connection;
+
+    /**
+     * Creates a stream without a connection.
+     *
+     * @param onWritable called when a slow client can take more
+     * @param onConnectionLost called when the connection ends before the stream
+     */
+    EventStream(long number, ReplayBuffer.Budget budget, Runnable onWritable, Runnable onConnectionLost) {
         this.number = number;
-        this.replay = new ReplayBuffer(MOST_MESSAGES, MOST_CHARS, budget);
-        this.goOn = goOn;
-        this.lost = lost;
+        this.replay = new ReplayBuffer(MAX_REPLAY_MESSAGES, MAX_REPLAY_CHARS, budget);
+        this.onWritable = onWritable;
+        this.onConnectionLost = onConnectionLost;
     }
 
     long number() {
@@ -48,164 +54,164 @@
         return finished;
     }
 
-    boolean attached() {
-        return out != null;
+    boolean isConnected() {
+        return connection != null;
     }
 
-    void forget() {
+    void clearReplay() {
         replay.clear();
     }
 
-    /** All that the POST said has been heard; {@code owed} answers come of it, or have come. */
-    void begin(HttpServerExchange exchange, int owed, boolean events) {
-        begun = true;
-        if (owed == 0) {
+    /** Starts the response once all messages of the POST are processed; {@code responseCount} is 0 if none follows. */
+    void start(HttpServerExchange exchange, int responseCount, boolean acceptsEvents) {
+        started = true;
+        if (responseCount == 0) {
             finished = true;
             exchange.setStatusCode(202).endExchange();
-        } else if (early != null && replay.lastNumber() == 0) {
-            say(exchange, early);
-        } else if (!events) {
-            json = true;
-            out = new Out(exchange);
+        } else if (immediateResponse != null && replay.lastNumber() == 0) {
+            sendJson(exchange, immediateResponse);
+        } else if (!acceptsEvents) {
+            jsonOnly = true;
+            connection = new Connection(exchange);
         } else {
-            stream(exchange, replay.messagesAfter(0));
+            sendStream(exchange, replay.messagesAfter(0));
         }
     }
 
-    /** Goes on for a client that has seen all up to a number; false if what followed is no longer kept. */
-    boolean resume(HttpServerExchange exchange, long seen) {
-        List<ReplayBuffer.Message> missed = json || !begun ? null : replay.messagesAfter(seen);
+    /** Resumes after the last message that the client has received; false if later ones are no longer buffered. */
+    boolean resume(HttpServerExchange exchange, long lastSeen) {
+        List<ReplayBuffer.Message> missed = jsonOnly || !started ? null : replay.messagesAfter(lastSeen);
         if (missed == null) return false;
-        // The connection that it had may not have ended yet: a message must not go to both.
-        if (out != null) out.close();
-        stream(exchange, missed);
+        // The previous connection may still be open: a message must not be sent on both.
+        if (connection != null) connection.close();
+        sendStream(exchange, missed);
         return true;
     }
 
-    private void stream(HttpServerExchange exchange, List<ReplayBuffer.Message> first) {
+    private void sendStream(HttpServerExchange exchange, List<ReplayBuffer.Message> first) {
         exchange.setStatusCode(200);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
         exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-cache");
-        out = new Out(exchange);
-        // An id without data: a client that loses the connection before the first message knows what to ask for.
-        out.write("id: " + number + "-0\n\n");
-        first.forEach(message -> out.write(frame(message)));
-        if (finished) out.end();
+        connection = new Connection(exchange);
+        // An id without data lets a client resume that loses the connection before the first message.
+        connection.write("id: " + number + "-0\n\n");
+        first.forEach(message -> connection.write(formatEvent(message)));
+        if (finished) connection.complete();
     }
 
-    private String frame(ReplayBuffer.Message message) {
+    private String formatEvent(ReplayBuffer.Message message) {
         return "id: " + number + "-" + message.number() + "\ndata: "
                 + message.text().replace("\n", "\ndata: ") + "\n\n";
     }
 
-    private static void say(HttpServerExchange exchange, String text) {
+    private static void sendJson(HttpServerExchange exchange, String text) {
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(text);
     }
 
     @Override
-    public void event(String message) {
-        if (json) return; // this client takes no events
-        ReplayBuffer.Message kept = replay.add(message);
-        if (out != null) out.write(frame(kept));
+    public void sendEvent(String message) {
+        if (jsonOnly) return; // this client accepts no events
+        ReplayBuffer.Message stored = replay.add(message);
+        if (connection != null) connection.write(formatEvent(stored));
     }
 
     @Override
-    public void answer(String message) {
+    public void sendResponse(String message) {
         finished = true;
-        if (!begun && replay.lastNumber() == 0) {
-            early = message;
-        } else if (json) {
-            if (out != null) out.reply(message);
+        if (!started && replay.lastNumber() == 0) {
+            immediateResponse = message;
+        } else if (jsonOnly) {
+            if (connection != null) connection.respond(message);
         } else {
-            event(message);
-            if (out != null) out.end();
+            sendEvent(message);
+            if (connection != null) connection.complete();
         }
     }
 
     @Override
-    public boolean slow() {
-        return out != null && out.bytes > SLOW_BYTES;
+    public boolean isSlow() {
+        return connection != null && connection.unsentBytes > PAUSE_BYTES;
     }
 
     @Override
-    public void look() {
-        if (out != null && DisconnectDetector.gone(out.exchange)) out.left();
+    public void pollClient() {
+        if (connection != null && DisconnectDetector.isDisconnected(connection.exchange)) connection.onDisconnected();
     }
 
-    /** One connection that the stream goes out on. */
-    private final class Out {
+    /** A connection that the stream is sent on. */
+    private final class Connection {
         private final HttpServerExchange exchange;
-        private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
         private StreamSinkChannel channel;
-        private int bytes;
-        private boolean ending;
-        private boolean over;
+        private int unsentBytes;
+        private boolean completed;
+        private boolean closed;
 
-        Out(HttpServerExchange exchange) {
+        Connection(HttpServerExchange exchange) {
             this.exchange = exchange;
-            DisconnectDetector.watch(exchange, () -> over, this::left);
+            DisconnectDetector.watch(exchange, () -> closed, this::onDisconnected);
         }
 
-        void reply(String text) {
-            over = true;
-            out = null;
-            say(exchange, text);
+        void respond(String text) {
+            closed = true;
+            connection = null;
+            sendJson(exchange, text);
         }
 
         void write(String text) {
-            if (over) return;
+            if (closed) return;
             if (channel == null) {
                 channel = exchange.getResponseChannel();
-                channel.getWriteSetter().set(c -> push());
+                channel.getWriteSetter().set(c -> writeUnsent());
             }
-            ByteBuffer more = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-            bytes += more.remaining();
-            waiting.add(more);
-            if (bytes > DEAD_BYTES) left();
-            else push();
+            ByteBuffer encoded = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
+            unsentBytes += encoded.remaining();
+            unsent.add(encoded);
+            if (unsentBytes > MAX_UNSENT_BYTES) onDisconnected();
+            else writeUnsent();
         }
 
-        void end() {
-            if (over) return;
-            ending = true;
-            push();
+        void complete() {
+            if (closed) return;
+            completed = true;
+            writeUnsent();
         }
 
         void close() {
-            if (over) return;
-            over = true;
+            if (closed) return;
+            closed = true;
             IoUtils.safeClose(exchange.getConnection());
         }
 
-        private void push() {
-            if (over) {
+        private void writeUnsent() {
+            if (closed) {
                 flush();
                 return;
             }
-            boolean wasSlow = bytes > SLOW_BYTES / 2;
+            boolean wasSlow = unsentBytes > PAUSE_BYTES / 2;
             try {
-                while (!waiting.isEmpty()) {
-                    int count = channel.write(waiting.peek());
-                    bytes -= count;
-                    if (!waiting.peek().hasRemaining()) waiting.poll();
+                while (!unsent.isEmpty()) {
+                    int count = channel.write(unsent.peek());
+                    unsentBytes -= count;
+                    if (!unsent.peek().hasRemaining()) unsent.poll();
                     else if (count == 0) break;
                 }
-                if (ending && waiting.isEmpty()) {
+                if (completed && unsent.isEmpty()) {
                     channel.shutdownWrites();
-                    over = true;
-                    out = null;
+                    closed = true;
+                    connection = null;
                     flush();
-                } else if (!channel.flush() || !waiting.isEmpty()) {
+                } else if (!channel.flush() || !unsent.isEmpty()) {
                     channel.resumeWrites();
                 } else {
                     channel.suspendWrites();
                 }
             } catch (IOException e) {
-                left();
+                onDisconnected();
                 return;
             }
-            if (wasSlow && bytes <= SLOW_BYTES / 2) goOn.run();
+            if (wasSlow && unsentBytes <= PAUSE_BYTES / 2) onWritable.run();
         }
 
         private void flush() {
@@ -217,14 +223,14 @@
             }
         }
 
-        private void left() {
-            if (over) return;
-            over = true;
+        private void onDisconnected() {
+            if (closed) return;
+            closed = true;
             IoUtils.safeClose(exchange.getConnection());
-            if (out == this) out = null;
-            // What was paused for this client goes on: the replay keeps what it may, and says so if that is not all.
-            goOn.run();
-            if (!finished) lost.run();
+            if (connection == this) connection = null;
+            // Paused streams resume: the replay buffers what fits, and a resumption reports if messages were dropped.
+            onWritable.run();
+            if (!finished) onConnectionLost.run();
         }
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
+++ b/src/main/java/maplerail/front/jsonrpc/HttpSessions.java
@@ -25,115 +25,118 @@
 import org.xnio.IoUtils;
 
 /**
- * Sessions over HTTP: a POST brings messages and is answered as JSON or as a stream of events, a GET takes up a stream
- * that broke, a DELETE ends the session. A lost connection ends nothing; only a session that is not used any more does.
+ * Sessions over HTTP: a POST carries messages and is answered with JSON or an event stream, a GET resumes a stream
+ * after a lost connection, a DELETE ends the session. A lost connection cancels no requests; an idle session that
+ * expires does.
  */
 final class HttpSessions {
-    static final HttpString SESSION = new HttpString("Mcp-Session-Id");
-    static final HttpString VERSION = new HttpString("MCP-Protocol-Version");
-    private static final HttpString LAST_EVENT = new HttpString("Last-Event-ID");
-    private static final int MOST_SESSIONS = 64;
-    private static final int MOST_FINISHED = 8; // streams of a session that may still be taken up after their end
-    private static final int MOST_KEPT = 4 * 1024 * 1024; // characters, of all sessions' streams
-    private static final double SWEEP_MS = 250;
+    static final HttpString SESSION_HEADER = new HttpString("Mcp-Session-Id");
+    static final HttpString VERSION_HEADER = new HttpString("MCP-Protocol-Version");
+    private static final HttpString LAST_EVENT_HEADER = new HttpString("Last-Event-ID");
+    private static final int MAX_SESSIONS = 64;
+    private static final int MAX_FINISHED_STREAMS = 8; // of a session, that can be resumed after their end
+    private static final int MAX_REPLAY_CHARS = 4 * 1024 * 1024; // of the streams of all sessions
+    private static final double SWEEP_INTERVAL_MS = 250;
 
     private final ToolsConfig config;
-    private final Session.Methods methods;
+    private final Session.Dispatcher dispatcher;
     private final EventLoop loop;
-    private final int mostBytes;
-    private final ReplayBuffer.Budget budget = new ReplayBuffer.Budget(MOST_KEPT);
-    private final Map<String, Kept> sessions = new LinkedHashMap<>();
-    private final List<Kept> bare = new ArrayList<>();
+    private final int maxBodyBytes;
+    private final ReplayBuffer.Budget budget = new ReplayBuffer.Budget(MAX_REPLAY_CHARS);
+    private final Map<String, HttpSession> sessions = new LinkedHashMap<>();
+    private final List<HttpSession> singleUse = new ArrayList<>();
     private boolean sweeping;
 
-    /** A session, its streams, and when it was last used. */
-    private final class Kept {
+    /** A session with its streams and the time of its last use. */
+    private final class HttpSession {
         final Session session;
         final int team;
         final boolean resumable;
         final Map<Long, EventStream> streams = new LinkedHashMap<>();
-        double usedMs = loop.nowMs();
-        private long last;
+        double lastUsedMs = loop.nowMs();
+        private long lastStreamNumber;
 
-        Kept(int team, boolean resumable, boolean handshake) {
+        HttpSession(int team, boolean resumable, boolean handshake) {
             this.team = team;
             this.resumable = resumable;
-            this.session = new Session(team, methods, handshake);
+            this.session = new Session(team, dispatcher, handshake);
         }
 
-        EventStream open() {
-            usedMs = loop.nowMs();
-            EventStream stream = new EventStream(++last, budget, session::goOn, this::lost);
+        EventStream openStream() {
+            lastUsedMs = loop.nowMs();
+            EventStream stream =
+                    new EventStream(++lastStreamNumber, budget, session::onClientWritable, this::onConnectionLost);
             streams.put(stream.number(), stream);
             int finished = (int)
                     streams.values().stream().filter(EventStream::finished).count();
-            for (Iterator<EventStream> each = streams.values().iterator(); finished > MOST_FINISHED; ) {
+            for (Iterator<EventStream> each = streams.values().iterator(); finished > MAX_FINISHED_STREAMS; ) {
                 EventStream oldest = each.next();
                 if (!oldest.finished()) continue;
-                oldest.forget();
+                oldest.clearReplay();
                 each.remove();
                 finished--;
             }
             return stream;
         }
 
-        private void lost() {
-            usedMs = loop.nowMs();
-            if (!resumable) end(); // nobody could ask for what it has to say
+        private void onConnectionLost() {
+            lastUsedMs = loop.nowMs();
+            if (!resumable) close(); // without a session id no client can resume the stream
         }
 
-        boolean idle() {
-            boolean attached = streams.values().stream().anyMatch(EventStream::attached);
-            return !attached && (!resumable || loop.nowMs() - usedMs >= config.sessionIdleMs());
+        boolean isIdle() {
+            boolean connected = streams.values().stream().anyMatch(EventStream::isConnected);
+            return !connected && (!resumable || loop.nowMs() - lastUsedMs >= config.sessionIdleMs());
         }
 
-        void end() {
-            session.gone();
-            streams.values().forEach(EventStream::forget);
+        void close() {
+            session.close();
+            streams.values().forEach(EventStream::clearReplay);
             streams.clear();
         }
     }
 
-    HttpSessions(ToolsConfig config, Session.Methods methods, EventLoop loop, int mostBytes) {
+    HttpSessions(ToolsConfig config, Session.Dispatcher dispatcher, EventLoop loop, int maxBodyBytes) {
         this.config = config;
-        this.methods = methods;
+        this.dispatcher = dispatcher;
         this.loop = loop;
-        this.mostBytes = mostBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     void handle(HttpServerExchange exchange, int team, ConnectionManager connections) {
         if (exchange.getRequestMethod().equals(Methods.POST)) {
-            exchange.setMaxEntitySize(mostBytes);
+            exchange.setMaxEntitySize(maxBodyBytes);
             exchange.getRequestReceiver()
                     .receiveFullBytes(
-                            (whole, body) -> whole.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                                connections.onRequestComplete(whole);
-                                // Guards against work for a client that went while its messages waited for their turn.
-                                if (DisconnectDetector.gone(whole)) IoUtils.safeClose(whole.getConnection());
-                                else post(whole, team, body);
+                            (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE, () -> {
+                                connections.onRequestComplete(received);
+                                // The client may have disconnected while its messages waited for the loop.
+                                if (DisconnectDetector.isDisconnected(received))
+                                    IoUtils.safeClose(received.getConnection());
+                                else post(received, team, body);
                             }),
-                            (broken, error) -> {
+                            (failed, error) -> {
                                 if (error instanceof RequestTooBigException)
-                                    refuse(broken, 413, "the message is too large");
-                                else IoUtils.safeClose(broken.getConnection());
+                                    reject(failed, 413, "the message is too large");
+                                else IoUtils.safeClose(failed.getConnection());
                             });
         } else if (exchange.getRequestMethod().equals(Methods.GET)) {
-            Kept kept = find(exchange, team);
-            if (kept != null) {
+            HttpSession httpSession = findSession(exchange, team);
+            if (httpSession != null) {
                 exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                     connections.onRequestComplete(exchange);
-                    resume(exchange, kept);
+                    resume(exchange, httpSession);
                 });
             }
         } else if (exchange.getRequestMethod().equals(Methods.DELETE)) {
-            Kept kept = find(exchange, team);
-            if (kept == null) return;
-            sessions.values().remove(kept);
-            kept.end();
+            HttpSession httpSession = findSession(exchange, team);
+            if (httpSession == null) return;
+            sessions.values().remove(httpSession);
+            httpSession.close();
             exchange.setStatusCode(204).endExchange();
         } else {
             exchange.getResponseHeaders().put(Headers.ALLOW, "GET, POST, DELETE");
-            refuse(exchange, 405, "not a method of this path");
+            reject(exchange, 405, "not a method of this path");
         }
     }
 
@@ -145,110 +148,114 @@
                     .decode(ByteBuffer.wrap(body))
                     .toString();
         } catch (CharacterCodingException e) {
-            refuse(exchange, 400, "not UTF-8");
+            reject(exchange, 400, "not UTF-8");
             return;
         }
         HeaderMap headers = exchange.getRequestHeaders();
-        Kept kept;
-        String fresh = null;
-        if (headers.contains(SESSION)) {
-            kept = find(exchange, team);
-            if (kept == null) return;
+        HttpSession httpSession;
+        String newId = null;
+        if (headers.contains(SESSION_HEADER)) {
+            httpSession = findSession(exchange, team);
+            if (httpSession == null) return;
         } else {
-            boolean first = opens(text);
-            if (!first && config.handshake()) {
-                refuse(exchange, 400, SESSION + ": missing, and this is no initialize");
+            boolean initializes = isInitialize(text);
+            if (!initializes && config.handshake()) {
+                reject(exchange, 400, SESSION_HEADER + ": missing, and this is no initialize");
                 return;
             }
-            if (sessions.size() + bare.size() >= MOST_SESSIONS) {
+            if (sessions.size() + singleUse.size() >= MAX_SESSIONS) {
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
-                refuse(exchange, 503, "too many sessions");
+                reject(exchange, 503, "too many sessions");
                 return;
             }
-            kept = new Kept(team, first, config.handshake());
-            if (first) fresh = UUID.randomUUID().toString();
-            else bare.add(kept);
+            httpSession = new HttpSession(team, initializes, config.handshake());
+            if (initializes) newId = UUID.randomUUID().toString();
+            else singleUse.add(httpSession);
         }
-        EventStream stream = kept.open();
-        int owed = kept.session.hear(text, stream);
-        if (fresh != null && kept.session.state().phase() == SessionState.Phase.NEGOTIATED) {
-            sessions.put(fresh, kept);
-            exchange.getResponseHeaders().put(SESSION, fresh);
+        EventStream stream = httpSession.openStream();
+        int responseCount = httpSession.session.receive(text, stream);
+        if (newId != null && httpSession.session.state().phase() == SessionState.Phase.NEGOTIATED) {
+            sessions.put(newId, httpSession);
+            exchange.getResponseHeaders().put(SESSION_HEADER, newId);
         }
         String accept = headers.getFirst(Headers.ACCEPT);
-        stream.begin(exchange, owed, accept != null && accept.contains("text/event-stream"));
-        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+        stream.start(exchange, responseCount, accept != null && accept.contains("text/event-stream"));
+        if (!sweeping) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::sweep);
         sweeping = true;
     }
 
-    private static boolean opens(String text) {
+    private static boolean isInitialize(String text) {
         try {
             return RpcMessage.parse(text).method().equals("initialize");
-        } catch (RpcMessage.Malformed e) {
+        } catch (RpcMessage.MalformedMessageException e) {
             return false;
         }
     }
 
-    /** The session that is named; null if it was said that there is none. */
-    private Kept find(HttpServerExchange exchange, int team) {
-        String id = exchange.getRequestHeaders().getFirst(SESSION);
-        Kept kept = id == null ? null : sessions.get(id);
-        String version = exchange.getRequestHeaders().getFirst(VERSION);
-        if (id == null) refuse(exchange, 400, SESSION + ": missing");
-        // Another team's session is as good as none: its id is no secret to be found out here.
-        else if (kept == null || kept.team != team) refuse(exchange, 404, "no such session");
-        else if (version != null && !version.equals(kept.session.state().version())) {
-            refuse(exchange, 400, VERSION + ": not what was agreed on");
-        } else return kept;
+    /** Finds the session that the request names; null after an error response was sent. */
+    private HttpSession findSession(HttpServerExchange exchange, int team) {
+        String id = exchange.getRequestHeaders().getFirst(SESSION_HEADER);
+        HttpSession httpSession = id == null ? null : sessions.get(id);
+        String version = exchange.getRequestHeaders().getFirst(VERSION_HEADER);
+        if (id == null) reject(exchange, 400, SESSION_HEADER + ": missing");
+        // The same response for another team's session and for an unknown one: it must not reveal which ids exist.
+        else if (httpSession == null || httpSession.team != team) reject(exchange, 404, "no such session");
+        else if (version != null && !version.equals(httpSession.session.state().version())) {
+            reject(exchange, 400, VERSION_HEADER + ": not what was agreed on");
+        } else return httpSession;
         return null;
     }
 
-    private void resume(HttpServerExchange exchange, Kept kept) {
-        String last = exchange.getRequestHeaders().getFirst(LAST_EVENT);
-        if (last == null) {
-            // All that this program says belongs to a request.
+    private void resume(HttpServerExchange exchange, HttpSession httpSession) {
+        String lastEvent = exchange.getRequestHeaders().getFirst(LAST_EVENT_HEADER);
+        if (lastEvent == null) {
+            // All messages of this server belong to a request, so there is no stream without one.
             exchange.getResponseHeaders().put(Headers.ALLOW, "POST, DELETE");
-            refuse(exchange, 405, "a GET takes up a stream: " + LAST_EVENT + " says where");
+            reject(exchange, 405, "a GET takes up a stream: " + LAST_EVENT_HEADER + " says where");
             return;
         }
-        kept.usedMs = loop.nowMs();
-        boolean sound = last.matches("[0-9]{1,15}-[0-9]{1,15}");
-        EventStream stream = sound ? kept.streams.get(Long.parseLong(last.split("-")[0])) : null;
-        if (!sound) refuse(exchange, 400, LAST_EVENT + ": not an event's id");
-        else if (stream == null || !stream.resume(exchange, Long.parseLong(last.split("-")[1]))) {
-            refuse(exchange, 410, "what followed this event is no longer kept");
+        httpSession.lastUsedMs = loop.nowMs();
+        boolean isValid = lastEvent.matches("[0-9]{1,15}-[0-9]{1,15}");
+        EventStream stream =
+                isValid ? httpSession.streams.get(Long.parseLong(lastEvent.split("-")[0])) : null;
+        if (!isValid) reject(exchange, 400, LAST_EVENT_HEADER + ": not an event's id");
+        else if (stream == null
+                || !stream.resume(exchange, Long.parseLong(lastEvent.split("-")[1]))) {
+            reject(exchange, 410, "what followed this event is no longer kept");
         }
     }
 
-    private static void refuse(HttpServerExchange exchange, int status, String why) {
+    private static void reject(HttpServerExchange exchange, int status, String reason) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        exchange.getResponseSender().send(RpcError.INVALID.answer("null", why, ""));
+        exchange.getResponseSender().send(RpcError.INVALID_REQUEST.response("null", reason, ""));
     }
 
-    /** Guards against sessions whose clients never come again: what they asked for is called off. */
+    /** Closes the idle sessions of clients that do not return, and cancels their requests. */
     private void sweep() {
-        sessions.values().removeIf(this::over);
-        bare.removeIf(this::over);
-        sweeping = !sessions.isEmpty() || !bare.isEmpty();
-        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_MS, this::sweep);
+        sessions.values().removeIf(this::closeIfIdle);
+        singleUse.removeIf(this::closeIfIdle);
+        sweeping = !sessions.isEmpty() || !singleUse.isEmpty();
+        if (sweeping) loop.schedule(loop.nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    private boolean over(Kept kept) {
-        if (!kept.idle()) return false;
-        kept.end();
+    private boolean closeIfIdle(HttpSession httpSession) {
+        if (!httpSession.isIdle()) return false;
+        httpSession.close();
         return true;
     }
 
     int openRequests() {
         return sessions.values().stream()
-                        .mapToInt(kept -> kept.session.openRequests())
+                        .mapToInt(httpSession -> httpSession.session.openRequests())
                         .sum()
-                + bare.stream().mapToInt(kept -> kept.session.openRequests()).sum();
+                + singleUse.stream()
+                        .mapToInt(httpSession -> httpSession.session.openRequests())
+                        .sum();
     }
 
-    /** Sessions, and the characters that their streams keep. */
-    int[] held() {
-        return new int[] {sessions.size() + bare.size(), budget.usedChars()};
+    /** The number of sessions, and of the characters that their streams buffer. */
+    int[] usage() {
+        return new int[] {sessions.size() + singleUse.size(), budget.usedChars()};
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/RpcError.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcError.java
@@ -2,19 +2,21 @@
 
 import maplerail.config.Json;
 
-/** The errors of this front: JSON-RPC's own, and server codes whose data tell refused from failed. */
+/**
+ * The errors of this front: those of JSON-RPC, and server codes whose data distinguish rejected from failed requests.
+ */
 enum RpcError {
-    PARSE(-32700, "not JSON"),
-    INVALID(-32600, "not a valid request"),
-    NO_METHOD(-32601, "no such method"),
-    PARAMS(-32602, "not valid parameters"),
-    /** Not run; trying again does no harm. */
+    PARSE_ERROR(-32700, "not JSON"),
+    INVALID_REQUEST(-32600, "not a valid request"),
+    METHOD_NOT_FOUND(-32601, "no such method"),
+    INVALID_PARAMS(-32602, "not valid parameters"),
+    /** Not executed; a retry is safe. */
     REFUSED(-32000, "refused"),
-    /** It may have run. */
+    /** May have been executed. */
     FAILED(-32001, "failed"),
-    /** No answer within the contract's deadline; it may have run. */
+    /** No response within the contract's deadline; may have been executed. */
     DEADLINE(-32002, "no answer in time"),
-    /** The caller called it off; it may have run. */
+    /** Cancelled by the client; may have been executed. */
     CANCELLED(-32003, "cancelled");
 
     private final int code;
@@ -25,26 +27,26 @@
         this.message = message;
     }
 
-    String answer(String id) {
-        return answer(id, "", "");
+    String response(String id) {
+        return response(id, "", "");
     }
 
-    /** The message that answers a request; {@code data} is an object's text, or empty. */
-    String answer(String id, String detail, String data) {
+    /** The error response to a request; {@code data} is the text of a JSON object, or empty. */
+    String response(String id, String detail, String data) {
         String text = detail.isEmpty() ? message : message + ": " + detail;
         return "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",\"message\":" + Json.quote(text)
                 + (data.isEmpty() ? "" : ",\"data\":" + data) + "}}";
     }
 
-    static String refused(String id, String why, double retryAfterMs) {
-        return REFUSED.answer(
+    static String refusedResponse(String id, String reason, double retryAfterMs) {
+        return REFUSED.response(
                 id,
-                why,
-                "{\"outcome\":\"refused\",\"why\":" + Json.quote(why) + ",\"retryAfterMs\":"
+                reason,
+                "{\"outcome\":\"refused\",\"why\":" + Json.quote(reason) + ",\"retryAfterMs\":"
                         + Math.round(Math.max(0, retryAfterMs)) + "}");
     }
 
-    String failed(String id, String why) {
-        return answer(id, "", "{\"outcome\":\"failed\",\"why\":" + Json.quote(why) + ",\"mayHaveRun\":true}");
+    String failedResponse(String id, String reason) {
+        return response(id, "", "{\"outcome\":\"failed\",\"why\":" + Json.quote(reason) + ",\"mayHaveRun\":true}");
     }
 }
--- a/src/main/java/maplerail/front/jsonrpc/RpcFront.java
+++ b/src/main/java/maplerail/front/jsonrpc/RpcFront.java
@@ -29,45 +29,45 @@
 import org.xnio.IoUtils;
 
 /**
- * JSON-RPC 2.0 for the teams that the operator's file names: over a WebSocket, one message for each text frame, or over
- * HTTP with streams of events.
+ * JSON-RPC 2.0 for the teams of the operator's configuration: over a WebSocket with one message per text frame, or over
+ * HTTP with event streams.
  */
-public final class RpcFront implements HttpHandler, Session.Methods {
-    private static final int MOST_MESSAGE = 256 * 1024;
+public final class RpcFront implements HttpHandler, Session.Dispatcher {
+    private static final int MAX_MESSAGE_BYTES = 256 * 1024;
 
     private final ToolsConfig config;
-    private final Tools tools;
-    private final Answers answers;
+    private final ToolMethods toolMethods;
+    private final AnswerMethods answerMethods;
     private final Lifecycle lifecycle;
-    private final HttpSessions http;
+    private final HttpSessions httpSessions;
     private final Set<Session> sessions = new HashSet<>();
-    private final Map<WebSocketChannel, Listening> channels = new HashMap<>();
+    private final Map<WebSocketChannel, WebSocketReceiver> receivers = new HashMap<>();
     private final EventLoop loop;
-    private boolean taking = true;
+    private boolean accepting = true;
     private ConnectionManager connections;
 
-    /** Makes a front before the platform's broker and one broker for each service of tools. */
+    /** Creates a front with the platform's broker and one broker per tool service. */
     public RpcFront(
             ToolsConfig config,
-            Map<String, Broker> services,
-            Broker platform,
+            Map<String, Broker> toolBrokers,
+            Broker platformBroker,
             Names names,
             Lifecycle lifecycle,
             EventLoop loop) {
         this.config = config;
-        this.tools = new Tools(config, services, loop);
-        this.answers = new Answers(platform, names);
+        this.toolMethods = new ToolMethods(config, toolBrokers, loop);
+        this.answerMethods = new AnswerMethods(platformBroker, names);
         this.lifecycle = lifecycle;
         this.loop = loop;
-        this.http = new HttpSessions(config, this, loop, MOST_MESSAGE);
+        this.httpSessions = new HttpSessions(config, this, loop, MAX_MESSAGE_BYTES);
     }
 
-    /** The platform's classes and tenants are named so from now on. */
+    /** Replaces the names of the platform's classes and tenants. */
     public void updateNames(Names names) {
-        answers.retune(names);
+        answerMethods.updateNames(names);
     }
 
-    /** Sets what manages the connections of its clients. */
+    /** Sets the manager of this front's client connections. */
     public void setConnections(ConnectionManager manager) {
         connections = manager;
     }
@@ -75,92 +75,93 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
         connections.onRequestHead(exchange);
-        String owner = exchange.getRequestHeaders().getFirst("Req-Owner");
-        int team = config.teams().stream().map(ToolsConfig.Team::name).toList().indexOf(owner);
+        String teamName = exchange.getRequestHeaders().getFirst("Req-Owner");
+        int team = config.teams().stream().map(ToolsConfig.Team::name).toList().indexOf(teamName);
         if (!exchange.getRequestPath().equals(config.path())) {
             exchange.setStatusCode(404).endExchange();
         } else if (team < 0) {
             exchange.setStatusCode(403).endExchange();
-        } else if (!open()) {
+        } else if (!isAccepting()) {
             exchange.setStatusCode(503).endExchange();
         } else if (!exchange.getRequestHeaders().contains(Headers.UPGRADE)) {
-            http.handle(exchange, team, connections);
+            httpSessions.handle(exchange, team, connections);
         } else {
-            BooleanSupplier gone = DisconnectDetector.of(exchange);
-            WebSocketConnectionCallback opened = (upgraded, channel) -> open(channel, team, gone);
-            connections.onUpgraded(exchange); // a session may be quiet for as long as its client likes
-            new WebSocketProtocolHandshakeHandler(opened).handleRequest(exchange);
+            BooleanSupplier isDisconnected = DisconnectDetector.disconnectCheck(exchange);
+            WebSocketConnectionCallback onUpgraded =
+                    (upgraded, channel) -> openWebSocket(channel, team, isDisconnected);
+            connections.onUpgraded(exchange); // a WebSocket session has no idle timeout
+            new WebSocketProtocolHandshakeHandler(onUpgraded).handleRequest(exchange);
         }
     }
 
-    private void open(WebSocketChannel channel, int team, BooleanSupplier gone) {
+    private void openWebSocket(WebSocketChannel channel, int team, BooleanSupplier isDisconnected) {
         Session session = new Session(team, this, config.handshake());
-        Listening listening = new Listening(channel, session, gone);
+        WebSocketReceiver receiver = new WebSocketReceiver(channel, session, isDisconnected);
         sessions.add(session);
-        channels.put(channel, listening);
+        receivers.put(channel, receiver);
         channel.addCloseTask(closed -> {
             sessions.remove(session);
-            channels.remove(closed);
-            session.gone();
+            receivers.remove(closed);
+            session.close();
         });
-        channel.getReceiveSetter().set(listening);
+        channel.getReceiveSetter().set(receiver);
         channel.resumeReceives();
     }
 
-    /** Hears a WebSocket's messages, each in its turn on the loop or at once. */
-    private static final class Listening extends AbstractReceiveListener {
-        private static final int MOST_AT_ONCE = 64;
-        private static final double GOODBYE_MS = 1_000; // for which its client may take to close a WebSocket
+    /** Receives a WebSocket's messages when the loop reports it readable, or on demand. */
+    private static final class WebSocketReceiver extends AbstractReceiveListener {
+        private static final int MAX_READS_PER_POLL = 64;
+        private static final double CLOSE_TIMEOUT_MS = 1_000; // for the client to respond to a close frame
 
         private final WebSocketChannel channel;
         private final Session session;
-        private final BooleanSupplier gone;
-        private final Sink sink;
-        private boolean within;
+        private final BooleanSupplier isDisconnected;
+        private final MessageSender sender;
+        private boolean receiving;
         private boolean closing;
-        private int heard;
+        private int receivedMessages;
 
-        Listening(WebSocketChannel channel, Session session, BooleanSupplier gone) {
+        WebSocketReceiver(WebSocketChannel channel, Session session, BooleanSupplier isDisconnected) {
             this.channel = channel;
             this.session = session;
-            this.gone = gone;
-            this.sink = new SocketSink(channel, session, this::now);
+            this.isDisconnected = isDisconnected;
+            this.sender = new WebSocketSender(channel, session, this::receivePending);
         }
 
         @Override
         public void handleEvent(WebSocketChannel from) {
-            within = true;
+            receiving = true;
             try {
                 super.handleEvent(from);
             } finally {
-                within = false;
+                receiving = false;
             }
         }
 
         void closeIfIdle(EventLoop loop) {
             if (closing || session.openRequests() > 0) return;
-            now();
+            receivePending();
             if (session.openRequests() > 0) return;
             closing = true;
             WebSockets.sendClose(new CloseMessage(CloseMessage.GOING_AWAY, "draining"), channel, null);
-            loop.schedule(loop.nowMs() + GOODBYE_MS, () -> IoUtils.safeClose(channel));
+            loop.schedule(loop.nowMs() + CLOSE_TIMEOUT_MS, () -> IoUtils.safeClose(channel));
         }
 
-        private void now() {
-            if (gone.getAsBoolean()) {
+        private void receivePending() {
+            if (isDisconnected.getAsBoolean()) {
                 IoUtils.safeClose(channel);
-                session.gone();
+                session.close();
             }
-            // Guards against a message that is heard within another.
-            for (int i = 0, before = -1; !within && before != heard && i < MOST_AT_ONCE; i++) {
-                before = heard;
+            // Not while a message is being received: messages must not be processed within one another.
+            for (int i = 0, before = -1; !receiving && before != receivedMessages && i < MAX_READS_PER_POLL; i++) {
+                before = receivedMessages;
                 handleEvent(channel);
             }
         }
 
         @Override
         protected long getMaxTextBufferSize() {
-            return MOST_MESSAGE;
+            return MAX_MESSAGE_BYTES;
         }
 
         @Override
@@ -170,8 +171,8 @@
 
         @Override
         protected void onFullTextMessage(WebSocketChannel from, BufferedTextMessage message) {
-            heard++;
-            session.hear(message.getData(), sink);
+            receivedMessages++;
+            session.receive(message.getData(), sender);
         }
 
         @Override
@@ -182,52 +183,52 @@
     }
 
     @Override
-    public RequestHandle start(int team, RpcMessage message, Session.Pending pending) {
+    public RequestHandle start(int team, RpcMessage message, Session.PendingRequest pending) {
         switch (message.method()) {
             case "tools/call" -> {
-                return tools.call(message, team, pending);
+                return toolMethods.call(message, team, pending);
             }
             case "answers/stream" -> {
-                return answers.start(message, config.teams().get(team).name(), pending);
+                return answerMethods.start(message, config.teams().get(team).name(), pending);
             }
-            case "tools/list" -> pending.result(tools.list(message));
-            case "ping" -> pending.result("{}");
-            default -> pending.finish(RpcError.NO_METHOD.answer(pending.id));
+            case "tools/list" -> pending.finishWithResult(toolMethods.list(message));
+            case "ping" -> pending.finishWithResult("{}");
+            default -> pending.finish(RpcError.METHOD_NOT_FOUND.response(pending.id));
         }
         return null;
     }
 
     @Override
-    public boolean open() {
-        return taking && lifecycle.phase() != Phase.STARTING;
+    public boolean isAccepting() {
+        return accepting && lifecycle.phase() != Phase.STARTING;
     }
 
-    /** Refuses what is new from now on; what was taken is finished. */
+    /** Rejects new requests from now on; accepted ones are finished. */
     public void stopAccepting() {
-        taking = false;
+        accepting = false;
     }
 
-    /** Sessions over HTTP, and the characters kept for those that come again. */
+    /** The number of sessions over HTTP, and of the characters buffered for clients that resume a stream. */
     public int[] sessionUsage() {
-        return http.held();
+        return httpSessions.usage();
     }
 
-    /** Requests that wait for their final answer. */
+    /** The number of requests without a final response. */
     public int openRequests() {
-        return sessions.stream().mapToInt(Session::openRequests).sum() + http.openRequests();
+        return sessions.stream().mapToInt(Session::openRequests).sum() + httpSessions.openRequests();
     }
 
     /**
-     * Ends the WebSockets on which nothing is asked, for a program that sends its clients away. What has come on one is heard
-     * first, so that no request is passed over; one whose client does not answer the goodbye is cut off.
+     * Closes the WebSockets without open requests, in a drain. Available messages are received first, so that no
+     * request is lost; a WebSocket whose client does not respond to the close frame is cut off.
      */
     public void closeIdleWebSockets() {
-        for (Listening listening : List.copyOf(channels.values())) listening.closeIfIdle(loop);
+        for (WebSocketReceiver receiver : List.copyOf(receivers.values())) receiver.closeIfIdle(loop);
     }
 
-    /** Says goodbye to all clients, for a program that is about to stop. */
+    /** Sends a close frame to all WebSocket clients, for a process that is about to stop. */
     public void close() {
-        for (WebSocketChannel channel : List.copyOf(channels.keySet())) {
+        for (WebSocketChannel channel : List.copyOf(receivers.keySet())) {
             WebSockets.sendClose(new CloseMessage(CloseMessage.GOING_AWAY, "stopping"), channel, null);
         }
     }
--- /dev/null
+++ b/src/main/java/maplerail/front/jsonrpc/RpcResponse.java
@@ -0,0 +1,27 @@
+package maplerail.front.jsonrpc;
+
+import maplerail.core.ResponseObserver;
+
+/** Reports a request's rejection or failure as the JSON-RPC response to its message. */
+abstract class RpcResponse implements ResponseObserver {
+    protected final Session.PendingRequest pending;
+
+    RpcResponse(Session.PendingRequest pending) {
+        this.pending = pending;
+    }
+
+    @Override
+    public boolean isConnected() {
+        return pending.isConnected();
+    }
+
+    @Override
+    public void onRejected(Reason reason, double retryAfterMs) {
+        pending.finish(reason, true, retryAfterMs);
+    }
+
+    @Override
+    public void onFailed(Reason reason) {
+        pending.finish(reason, false, 0);
+    }
+}
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -11,30 +11,30 @@
 import maplerail.rpc.BatchResponse;
 import maplerail.rpc.SessionState;
 
-/** One client's session, whatever carries it: answers that stream and tool calls, side by side. */
+/** One client's session over any transport, with concurrent streamed answers and tool calls. */
 final class Session {
-    private static final int MOST_OPEN = 64; // requests of one session at once
-    private static final int MOST_BATCH = 32; // messages of one batch
-    private static final double BUSY_MS = 100;
+    private static final int MAX_OPEN_REQUESTS = 64;
+    private static final int MAX_BATCH_SIZE = 32; // messages
+    private static final double RETRY_AFTER_MS = 100;
 
     private final int team;
-    private final Methods methods;
+    private final Dispatcher dispatcher;
     private final SessionState state;
-    private final Map<String, Pending> open = new HashMap<>();
+    private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
     private boolean closed;
 
-    /** What a session asks of the program behind it. */
-    interface Methods {
-        /** Starts a request; {@code null} if it was answered at once. */
-        RequestHandle start(int team, RpcMessage message, Pending pending);
+    /** Dispatches the requests of sessions to their methods. */
+    interface Dispatcher {
+        /** Starts a request; {@code null} if it was answered immediately. */
+        RequestHandle start(int team, RpcMessage message, PendingRequest pending);
 
-        /** True while new requests are wanted. */
-        boolean open();
+        /** True while new requests are accepted. */
+        boolean isAccepting();
     }
 
-    Session(int team, Methods methods, boolean handshake) {
+    Session(int team, Dispatcher dispatcher, boolean handshake) {
         this.team = team;
-        this.methods = methods;
+        this.dispatcher = dispatcher;
         this.state = new SessionState(handshake);
     }
 
@@ -42,205 +42,214 @@
         return state;
     }
 
-    /** Hears a message or a batch of them; how many final answers that brings, now or later. */
-    int hear(String text, Sink to) {
-        if (!text.stripLeading().startsWith("[")) return one(text, to);
+    /** Processes a message or a batch; returns the number of responses that were or will be sent. */
+    int receive(String text, MessageSender sender) {
+        if (!text.stripLeading().startsWith("[")) return receiveSingle(text, sender);
         List<String> messages = Json.elements(text);
-        if (messages == null || messages.isEmpty() || messages.size() > MOST_BATCH) {
-            to.answer(
+        if (messages == null || messages.isEmpty() || messages.size() > MAX_BATCH_SIZE) {
+            sender.sendResponse(
                     messages == null
-                            ? RpcError.PARSE.answer("null")
-                            : RpcError.INVALID.answer("null", "a batch of 1 to " + MOST_BATCH + " messages", ""));
+                            ? RpcError.PARSE_ERROR.response("null")
+                            : RpcError.INVALID_REQUEST.response(
+                                    "null", "a batch of 1 to " + MAX_BATCH_SIZE + " messages", ""));
             return 1;
         }
-        BatchResponse batch = new BatchResponse(to::answer);
-        Sink gathering = new Sink() {
+        BatchResponse batch = new BatchResponse(sender::sendResponse);
+        MessageSender batchSender = new MessageSender() {
             @Override
-            public void event(String message) {
-                to.event(message);
+            public void sendEvent(String message) {
+                sender.sendEvent(message);
             }
 
             @Override
-            public void answer(String message) {
+            public void sendResponse(String message) {
                 batch.addResponse(message);
             }
 
             @Override
-            public boolean slow() {
-                return to.slow();
+            public boolean isSlow() {
+                return sender.isSlow();
             }
 
             @Override
-            public void look() {
-                to.look();
+            public void pollClient() {
+                sender.pollClient();
             }
         };
-        for (String message : messages) batch.expectResponses(one(message, gathering));
+        for (String message : messages) batch.expectResponses(receiveSingle(message, batchSender));
         return batch.seal();
     }
 
-    private int one(String text, Sink to) {
+    private int receiveSingle(String text, MessageSender sender) {
         RpcMessage message;
         try {
             message = RpcMessage.parse(text);
-        } catch (RpcMessage.Malformed e) {
-            to.answer(e.answer());
+        } catch (RpcMessage.MalformedMessageException e) {
+            sender.sendResponse(e.errorResponse());
             return 1;
         }
-        if (message.reply()) return 0; // to a call that nobody here made
+        if (message.isResponse()) return 0; // this server sends no requests that could be answered
         if (message.id() == null) {
             if (message.method().equals("notifications/cancelled")) cancel(message);
             if (message.method().equals("notifications/initialized")) state.onInitialized();
-            return 0; // any other notification asks for no answer either
+            return 0; // a notification has no response
         }
-        request(message, to);
+        handleRequest(message, sender);
         return 1;
     }
 
-    private void request(RpcMessage message, Sink to) {
-        if (open.containsKey(message.id())) {
-            // An answer under this id would be taken for the first one's final answer.
-            to.answer(RpcError.INVALID.answer("null", "id is in flight", "{\"duplicateId\":" + message.id() + "}"));
+    private void handleRequest(RpcMessage message, MessageSender sender) {
+        if (pendingRequests.containsKey(message.id())) {
+            // The client would take a response with this id for the first request's response.
+            sender.sendResponse(RpcError.INVALID_REQUEST.response(
+                    "null", "id is in flight", "{\"duplicateId\":" + message.id() + "}"));
             return;
         }
-        if (!methods.open()) state.drain();
+        if (!dispatcher.isAccepting()) state.drain();
         switch (state.decide(message.method())) {
-            case TAKE -> take(message, to);
-            case TOO_EARLY -> to.answer(RpcError.INVALID.answer(message.id(), "the session is not initialized", ""));
-            case TWICE -> to.answer(RpcError.INVALID.answer(message.id(), "the session is initialized already", ""));
-            default -> to.answer(RpcError.refused(message.id(), "draining", BUSY_MS));
+            case TAKE -> startRequest(message, sender);
+            case TOO_EARLY ->
+                sender.sendResponse(
+                        RpcError.INVALID_REQUEST.response(message.id(), "the session is not initialized", ""));
+            case TWICE ->
+                sender.sendResponse(
+                        RpcError.INVALID_REQUEST.response(message.id(), "the session is initialized already", ""));
+            default -> sender.sendResponse(RpcError.refusedResponse(message.id(), "draining", RETRY_AFTER_MS));
         }
     }
 
-    private void take(RpcMessage message, Sink to) {
-        Pending pending = new Pending(message.id(), to);
-        if (open.size() >= MOST_OPEN) {
-            to.answer(RpcError.refused(message.id(), "too many requests of this session", BUSY_MS));
+    private void startRequest(RpcMessage message, MessageSender sender) {
+        PendingRequest pending = new PendingRequest(message.id(), sender);
+        if (pendingRequests.size() >= MAX_OPEN_REQUESTS) {
+            sender.sendResponse(
+                    RpcError.refusedResponse(message.id(), "too many requests of this session", RETRY_AFTER_MS));
             return;
         }
-        open.put(message.id(), pending);
+        pendingRequests.put(message.id(), pending);
         try {
             if (message.method().equals("initialize")) initialize(message, pending);
-            else pending.ticket = methods.start(team, message, pending);
+            else pending.handle = dispatcher.start(team, message, pending);
         } catch (ConfigException e) {
-            pending.finish(RpcError.PARAMS.answer(message.id(), e.getMessage(), ""));
+            pending.finish(RpcError.INVALID_PARAMS.response(message.id(), e.getMessage(), ""));
         }
     }
 
-    private void initialize(RpcMessage message, Pending pending) {
-        Tree asked = params(message);
-        if (asked.at("capabilities").present() && !asked.at("capabilities").isObject()) {
+    private void initialize(RpcMessage message, PendingRequest pending) {
+        Tree params = params(message);
+        if (params.at("capabilities").present() && !params.at("capabilities").isObject()) {
             throw new ConfigException("params.capabilities: not an object");
         }
-        String version = state.initialize(asked.need("protocolVersion").text());
-        pending.result("{\"protocolVersion\":" + Json.quote(version) + ",\"capabilities\":{\"tools\":{}},"
+        String version = state.initialize(params.need("protocolVersion").text());
+        pending.finishWithResult("{\"protocolVersion\":" + Json.quote(version) + ",\"capabilities\":{\"tools\":{}},"
                 + "\"serverInfo\":{\"name\":\"maplerail\",\"version\":\"0.1.0\"}}");
     }
 
     private void cancel(RpcMessage message) {
         String id = Json.fields(message.params()).get("requestId");
-        Pending pending = id == null ? null : open.get(id);
+        PendingRequest pending = id == null ? null : pendingRequests.get(id);
         if (pending == null) return;
-        pending.finish(RpcError.CANCELLED.failed(id, "cancelled"));
-        if (pending.ticket != null) pending.ticket.onClientDisconnected();
+        pending.finish(RpcError.CANCELLED.failedResponse(id, "cancelled"));
+        if (pending.handle != null) pending.handle.onClientDisconnected();
     }
 
-    /** The client has left for good: nobody waits for anything here. */
-    void gone() {
+    /** Closes the session after its client has disconnected for good, and cancels its requests. */
+    void close() {
         if (closed) return;
         closed = true;
         state.close();
-        for (Pending pending : List.copyOf(open.values())) {
-            pending.over = true;
-            if (pending.ticket != null) pending.ticket.onClientDisconnected();
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+            pending.finished = true;
+            if (pending.handle != null) pending.handle.onClientDisconnected();
         }
-        open.clear();
+        pendingRequests.clear();
     }
 
     int openRequests() {
-        return open.size();
+        return pendingRequests.size();
     }
 
-    /** A client has taken what it was slow with. */
-    void goOn() {
-        for (Pending pending : List.copyOf(open.values())) pending.goOn();
+    /** Resumes the paused requests once the client can take more. */
+    void onClientWritable() {
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) pending.onClientWritable();
     }
 
-    /** A request that waits for its one final answer. */
-    final class Pending {
+    /** A request without a final response. */
+    final class PendingRequest {
         final String id;
-        private final Sink to;
-        private RequestHandle ticket;
+        private final MessageSender sender;
+        private RequestHandle handle;
         private boolean paused;
-        private boolean over;
+        private boolean finished;
 
-        Pending(String id, Sink to) {
+        PendingRequest(String id, MessageSender sender) {
             this.id = id;
-            this.to = to;
+            this.sender = sender;
         }
 
-        /** Gives the final answer; any later one is dropped. */
-        void finish(String answer) {
-            if (over) return;
-            over = true;
-            open.remove(id);
-            to.answer(answer);
+        /** Sends the final response; any later one is dropped. */
+        void finish(String response) {
+            if (finished) return;
+            finished = true;
+            pendingRequests.remove(id);
+            sender.sendResponse(response);
         }
 
-        void result(String value) {
+        void finishWithResult(String value) {
             finish("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":" + value + "}");
         }
 
-        void finish(ResponseObserver.Reason why, boolean refused, double retryAfterMs) {
+        void finish(ResponseObserver.Reason reason, boolean rejected, double retryAfterMs) {
             finish(
-                    switch (why) {
+                    switch (reason) {
                         case INVALID ->
-                            refused
-                                    ? RpcError.PARAMS.answer(
+                            rejected
+                                    ? RpcError.INVALID_PARAMS.response(
                                             id, "the arguments are larger than the contract allows", "")
-                                    : RpcError.FAILED.failed(id, "the server says that the request is wrong");
-                        case BUDGET -> RpcError.refused(id, "budget", retryAfterMs);
-                        case DEADLINE -> RpcError.DEADLINE.failed(id, "deadline");
-                        case DRAINING -> RpcError.refused(id, "draining", BUSY_MS);
-                        case OVERLOAD -> RpcError.refused(id, "overload", retryAfterMs);
+                                    : RpcError.FAILED.failedResponse(id, "the server says that the request is wrong");
+                        case BUDGET -> RpcError.refusedResponse(id, "budget", retryAfterMs);
+                        case DEADLINE -> RpcError.DEADLINE.failedResponse(id, "deadline");
+                        case DRAINING -> RpcError.refusedResponse(id, "draining", RETRY_AFTER_MS);
+                        case OVERLOAD -> RpcError.refusedResponse(id, "overload", retryAfterMs);
                         default ->
-                            refused
-                                    ? RpcError.refused(id, "overload", retryAfterMs)
-                                    : RpcError.FAILED.failed(id, "engine");
+                            rejected
+                                    ? RpcError.refusedResponse(id, "overload", retryAfterMs)
+                                    : RpcError.FAILED.failedResponse(id, "engine");
                     });
         }
 
-        /** False if its client has left or called it off by now, though that may not have had its turn on the loop. */
-        boolean here() {
-            if (!over) to.look();
-            return !over;
+        /**
+         * False if the client has disconnected or cancelled the request, even if the loop has not processed that yet.
+         */
+        boolean isConnected() {
+            if (!finished) sender.pollClient();
+            return !finished;
         }
 
-        /** Tells a piece of an answer that streams; false if the client should be waited for. */
-        boolean notify(String data) {
-            return tell("{\"jsonrpc\":\"2.0\",\"method\":\"answers/event\",\"params\":{\"id\":" + id + ",\"data\":"
-                    + Json.quote(data) + "}}");
+        /** Sends an event of a streamed answer; false if the stream should pause for a slow client. */
+        boolean sendAnswerEvent(String data) {
+            return sendNotification("{\"jsonrpc\":\"2.0\",\"method\":\"answers/event\",\"params\":{\"id\":" + id
+                    + ",\"data\":" + Json.quote(data) + "}}");
         }
 
-        /** Tells something on the way to the answer; false if the client should be waited for. */
-        boolean tell(String message) {
-            if (over) return true;
-            to.event(message);
-            paused = to.slow();
+        /** Sends a notification before the response; false if the stream should pause for a slow client. */
+        boolean sendNotification(String message) {
+            if (finished) return true;
+            sender.sendEvent(message);
+            paused = sender.isSlow();
             return !paused;
         }
 
-        /** It has taken as long as it may, though it had begun. */
+        /** Ends a started request that has exceeded its time limit. */
         void expire() {
-            if (over) return;
-            finish(RpcError.DEADLINE.failed(id, "deadline"));
-            if (ticket != null) ticket.onClientDisconnected();
+            if (finished) return;
+            finish(RpcError.DEADLINE.failedResponse(id, "deadline"));
+            if (handle != null) handle.onClientDisconnected();
         }
 
-        private void goOn() {
-            if (!paused || to.slow() || ticket == null) return;
+        private void onClientWritable() {
+            if (!paused || sender.isSlow() || handle == null) return;
             paused = false;
-            ticket.onClientWritable();
+            handle.onClientWritable();
         }
     }
 
--- a/src/main/java/maplerail/front/jsonrpc/Tools.java
+++ b/src/main/java/maplerail/front/jsonrpc/ToolMethods.java
@@ -17,23 +17,23 @@
 import maplerail.rpc.Pagination;
 import maplerail.rpc.ProgressTracker;
 
-/** The methods tools/call and tools/list: calls go to the broker of the tool's service. */
-final class Tools {
-    private static final double TOKEN_BYTES = 4;
+/** The methods tools/call and tools/list. Calls go to the broker of the tool's service. */
+final class ToolMethods {
+    private static final double BYTES_PER_TOKEN = 4;
 
     private final ToolsConfig config;
-    private final Map<String, Broker> services;
+    private final Map<String, Broker> brokers;
     private final EventLoop loop;
     private final TreeMap<String, ToolsConfig.Tool> tools;
 
-    Tools(ToolsConfig config, Map<String, Broker> services, EventLoop loop) {
+    ToolMethods(ToolsConfig config, Map<String, Broker> brokers, EventLoop loop) {
         this.loop = loop;
         this.tools = new TreeMap<>(config.tools());
         this.config = config;
-        this.services = services;
+        this.brokers = brokers;
     }
 
-    RequestHandle call(RpcMessage message, int team, Session.Pending pending) {
+    RequestHandle call(RpcMessage message, int team, Session.PendingRequest pending) {
         Tree params = Session.params(message);
         String name = params.need("name").text();
         ToolsConfig.Tool tool = config.tools().get(name);
@@ -43,44 +43,44 @@
         }
         String arguments = Json.fields(message.params()).getOrDefault("arguments", "{}");
         ToolsConfig.Contract contract = config.contracts().get(tool.contract());
-        String token = token(params, Json.fields(message.params()).get("_meta"));
+        String clientToken = progressToken(params, Json.fields(message.params()).get("_meta"));
         String id = UUID.randomUUID().toString();
-        String meta = token == null ? "" : ",\"_meta\":{\"progressToken\":" + Json.quote(id) + "}";
+        String meta = clientToken == null ? "" : ",\"_meta\":{\"progressToken\":" + Json.quote(id) + "}";
         byte[] body = ("{\"jsonrpc\":\"2.0\",\"id\":" + Json.quote(id)
                         + ",\"method\":\"tools/call\",\"params\":{\"name\":" + Json.quote(name) + ",\"arguments\":"
                         + arguments + meta + "}}")
                 .getBytes(StandardCharsets.UTF_8);
-        int size = arguments.getBytes(StandardCharsets.UTF_8).length;
-        InferenceRequest ask = new InferenceRequest(
+        int argumentBytes = arguments.getBytes(StandardCharsets.UTF_8).length;
+        InferenceRequest request = new InferenceRequest(
                 id,
                 tool.contract(),
                 team,
                 0,
-                size / TOKEN_BYTES,
+                argumentBytes / BYTES_PER_TOKEN,
                 0,
                 0,
                 contract.deadlineMs(),
-                contract.mostReply() / TOKEN_BYTES,
+                contract.mostReply() / BYTES_PER_TOKEN,
                 0,
                 false,
-                size,
+                argumentBytes,
                 new ToolCallPayload(
                         config.services().get(tool.service()).path(),
                         body,
                         contract.mostReply(),
                         contract.deadlineMs()));
-        return services.get(tool.service())
+        return brokers.get(tool.service())
                 .submit(
-                        ask,
-                        new ToolCaller(
+                        request,
+                        new ToolResponse(
                                 pending,
                                 new ProgressTracker(id, loop.nowMs(), contract.mostDeadlineMs()),
-                                token,
+                                clientToken,
                                 loop));
     }
 
-    /** The text of the token that the client wants to hear of progress under; null for none. */
-    private static String token(Tree params, String meta) {
+    /** The JSON text of the client's progress token; null for none. */
+    private static String progressToken(Tree params, String meta) {
         Tree token = params.at("_meta").at("progressToken");
         if (!token.present()) return null;
         if (token.text(null) == null && !token.isWhole()) {
--- a/src/main/java/maplerail/front/package-info.java
+++ b/src/main/java/maplerail/front/package-info.java
@@ -1,2 +1,2 @@
-/** Client connections, whichever front serves them: accepting, idle connections, and clients that disconnect. */
+/** Client connections of all fronts: accepting, idle timeouts and detection of client disconnects. */
 package maplerail.front;
--- a/src/main/java/maplerail/front/platform/PlatformFront.java
+++ b/src/main/java/maplerail/front/platform/PlatformFront.java
@@ -15,29 +15,29 @@
 import maplerail.front.DisconnectDetector;
 import org.xnio.IoUtils;
 
-/** The platform's protocol before the broker: readiness, and one request for each exchange. */
+/** The platform's HTTP front: a readiness check, and one inference request per exchange, which goes to the broker. */
 public final class PlatformFront implements HttpHandler {
-    /** The most bytes that a request's body may hold. */
-    public static final int MOST_BYTES = 256 * 1024;
+    /** The maximum size of a request's body. */
+    public static final int MAX_BODY_BYTES = 256 * 1024;
 
     private final Broker broker;
-    private RequestReader reader;
+    private RequestParser parser;
     private final Lifecycle lifecycle;
     private ConnectionManager connections;
 
-    /** Makes a front for clients that name classes and tenants so. */
+    /** Creates a front with the configured names of classes and tenants. */
     public PlatformFront(Broker broker, Names names, Lifecycle lifecycle) {
         this.broker = broker;
-        this.reader = new RequestReader(names);
+        this.parser = new RequestParser(names);
         this.lifecycle = lifecycle;
     }
 
-    /** Clients name classes and tenants so from now on. */
+    /** Replaces the names of classes and tenants. */
     public void updateNames(Names names) {
-        reader = new RequestReader(names);
+        parser = new RequestParser(names);
     }
 
-    /** Sets what manages the connections of its clients. */
+    /** Sets the manager of this front's client connections. */
     public void setConnections(ConnectionManager manager) {
         connections = manager;
     }
@@ -46,48 +46,49 @@
     public void handleRequest(HttpServerExchange exchange) {
         ServerConnection connection = exchange.getConnection();
         connections.onRequestHead(exchange);
-        PlatformResponse answer = new PlatformResponse(exchange);
+        PlatformResponse response = new PlatformResponse(exchange);
         if (exchange.getRequestURI().equals("/-/ready")) {
-            answer.say(lifecycle.phase() == Phase.READY ? 200 : 503, "");
+            response.respond(lifecycle.phase() == Phase.READY ? 200 : 503, "");
         } else if (exchange.getRequestURI().startsWith("/-/")) {
-            answer.say(404, "no such path");
+            response.respond(404, "no such path");
         } else if (!exchange.getRequestMethod().equals(Methods.POST)) {
-            answer.say(405, "POST only");
-        } else if (exchange.getRequestContentLength() > MOST_BYTES) {
+            response.respond(405, "POST only");
+        } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
             exchange.setPersistent(false);
-            answer.say(413, "the body is too large");
+            response.respond(413, "the body is too large");
         } else {
-            // A body in chunks is read somewhat further: ended in the middle, its client would not see the answer.
-            exchange.setMaxEntitySize(4 * MOST_BYTES);
+            // A chunked body is read beyond its limit: if it were cut off there, the client would not get the response.
+            exchange.setMaxEntitySize(4 * MAX_BODY_BYTES);
             exchange.getRequestReceiver()
                     .receiveFullBytes(
-                            (whole, body) ->
-                                    whole.dispatch(SameThreadExecutor.INSTANCE, () -> take(whole, answer, body)),
-                            (broken, error) -> {
-                                if (error instanceof RequestTooBigException) answer.say(413, "the body is too large");
+                            (received, body) -> received.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> submit(received, response, body)),
+                            (failed, error) -> {
+                                if (error instanceof RequestTooBigException)
+                                    response.respond(413, "the body is too large");
                                 else IoUtils.safeClose(connection);
                             });
         }
     }
 
-    private void take(HttpServerExchange exchange, PlatformResponse answer, byte[] body) {
+    private void submit(HttpServerExchange exchange, PlatformResponse response, byte[] body) {
         connections.onRequestComplete(exchange);
-        if (DisconnectDetector.gone(exchange)) {
-            // Guards against work for a client that went while its request waited for its turn on the loop.
+        if (DisconnectDetector.isDisconnected(exchange)) {
+            // The client disconnected while its request waited for the loop: no engine has to work for it.
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        if (body.length > MOST_BYTES) {
-            answer.say(413, "the body is too large");
+        if (body.length > MAX_BODY_BYTES) {
+            response.respond(413, "the body is too large");
             return;
         }
-        InferenceRequest ask;
+        InferenceRequest request;
         try {
-            ask = reader.read(exchange, body);
-        } catch (RequestReader.BadRequest e) {
-            answer.say(400, e.getMessage());
+            request = parser.parse(exchange, body);
+        } catch (RequestParser.BadRequestException e) {
+            response.respond(400, e.getMessage());
             return;
         }
-        answer.hold(broker.submit(ask, answer));
+        response.attach(broker.submit(request, response));
     }
 }
--- a/src/main/java/maplerail/front/platform/PlatformResponse.java
+++ b/src/main/java/maplerail/front/platform/PlatformResponse.java
@@ -16,96 +16,95 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSinkChannel;
 
-/** A client's open request: relays a stream to it as it comes, or words the one final answer. */
+/** The response to a client's request: a stream that is relayed as it arrives, or a single error response. */
 final class PlatformResponse implements ResponseObserver {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformResponse.class);
-    private static final int MOST_WAITING = 64 * 1024; // bytes that the client has not taken yet
+    private static final int PAUSE_BYTES = 64 * 1024; // unsent bytes from which the stream is paused
 
     private final HttpServerExchange exchange;
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private int waitingBytes;
-    private RequestHandle ticket;
+    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private int unsentBytes;
+    private RequestHandle requestHandle;
     private StreamSinkChannel sink;
     private boolean paused;
-    private boolean ending;
-    private boolean over;
+    private boolean completed;
+    private boolean finished;
 
-    /** The answer of an exchange. */
     PlatformResponse(HttpServerExchange exchange) {
         this.exchange = exchange;
     }
 
-    void hold(RequestHandle held) {
-        ticket = held;
-        if (!over) DisconnectDetector.watch(exchange, this::over, this::left);
+    void attach(RequestHandle handle) {
+        requestHandle = handle;
+        if (!finished) DisconnectDetector.watch(exchange, this::finished, this::onDisconnected);
     }
 
     @Override
     public boolean isConnected() {
-        return !DisconnectDetector.gone(exchange);
+        return !DisconnectDetector.isDisconnected(exchange);
     }
 
-    boolean over() {
-        return over;
+    boolean finished() {
+        return finished;
     }
 
-    private void left() {
-        if (over) return;
-        LOG.debug("{}: its client has left", exchange.getRequestHeaders().getFirst("Req-Id"));
-        over = true;
+    private void onDisconnected() {
+        if (finished) return;
+        LOG.debug("{}: client disconnected", exchange.getRequestHeaders().getFirst("Req-Id"));
+        finished = true;
         IoUtils.safeClose(exchange.getConnection());
-        if (ticket != null) ticket.onClientDisconnected();
+        if (requestHandle != null) requestHandle.onClientDisconnected();
     }
 
     @Override
     public boolean onEvent(byte[] event) {
-        if (over) return true;
+        if (finished) return true;
         if (sink == null) {
             exchange.setStatusCode(200);
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
             exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-cache");
-            // Said outright: where the connection ends after the answer, only this gives a stream a last chunk.
+            // Set explicitly: without it, a stream on a connection that closes afterwards would have no last chunk.
             exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
             sink = exchange.getResponseChannel();
             sink.getWriteSetter().set(c -> write());
         }
-        waiting.add(ByteBuffer.wrap(event));
-        waitingBytes += event.length;
-        if (waiting.size() == 1) write();
-        paused = waitingBytes > MOST_WAITING;
+        unsent.add(ByteBuffer.wrap(event));
+        unsentBytes += event.length;
+        if (unsent.size() == 1) write();
+        paused = unsentBytes > PAUSE_BYTES;
         return !paused;
     }
 
     private void write() {
-        if (over) return;
+        if (finished) return;
         try {
-            while (!waiting.isEmpty()) {
-                ByteBuffer first = waiting.peek();
+            while (!unsent.isEmpty()) {
+                ByteBuffer first = unsent.peek();
                 int count = sink.write(first);
-                waitingBytes -= count;
-                if (!first.hasRemaining()) waiting.poll();
+                unsentBytes -= count;
+                if (!first.hasRemaining()) unsent.poll();
                 else if (count == 0) {
                     sink.resumeWrites();
                     return;
                 }
             }
-            if (ending) {
+            if (completed) {
                 sink.shutdownWrites();
-                over = true;
+                finished = true;
             }
             if (!sink.flush()) {
                 sink.resumeWrites();
-                if (over) sink.getWriteSetter().set(c -> flush());
+                if (finished) sink.getWriteSetter().set(c -> flush());
                 return;
             }
             sink.suspendWrites();
         } catch (IOException e) {
-            left();
+            onDisconnected();
             return;
         }
-        if (paused && !over && waitingBytes <= MOST_WAITING / 2) {
+        if (paused && !finished && unsentBytes <= PAUSE_BYTES / 2) {
             paused = false;
-            ticket.onClientWritable();
+            requestHandle.onClientWritable();
         }
     }
 
@@ -119,20 +118,20 @@
 
     @Override
     public void onCompleted() {
-        if (over) return;
+        if (finished) return;
         if (sink == null) onEvent(new byte[0]);
-        ending = true;
+        completed = true;
         write();
     }
 
     @Override
     public void onBroken() {
-        if (over) return;
-        over = true;
-        // What is still waiting goes out if it can at once; then the connection ends with no last chunk.
+        if (finished) return;
+        finished = true;
+        // Unsent data is written as far as possible without waiting; then the connection closes without a last chunk.
         try {
-            while (!waiting.isEmpty() && sink.write(waiting.peek()) > 0) {
-                if (!waiting.peek().hasRemaining()) waiting.poll();
+            while (!unsent.isEmpty() && sink.write(unsent.peek()) > 0) {
+                if (!unsent.peek().hasRemaining()) unsent.poll();
             }
             sink.flush();
         } catch (IOException e) {
@@ -143,15 +142,15 @@
 
     @Override
     public Optional<Object> detachConnection() {
-        if (over
-                || ending
+        if (finished
+                || completed
                 || paused
                 || sink == null
-                || !waiting.isEmpty()
+                || !unsent.isEmpty()
                 || !exchange.isHttp11()
                 || !(exchange.getConnection() instanceof HttpServerConnection http)
                 || http.getExtraBytes() != null
-                || DisconnectDetector.early(exchange)) {
+                || DisconnectDetector.hasUnreadInput(exchange)) {
             return Optional.empty();
         }
         try {
@@ -160,10 +159,10 @@
                 return Optional.empty();
             }
         } catch (IOException e) {
-            left();
+            onDisconnected();
             return Optional.empty();
         }
-        over = true;
+        finished = true;
         sink.suspendWrites();
         http.getOriginalSourceConduit().suspendReads();
         boolean closes = !exchange.isPersistent()
@@ -172,27 +171,27 @@
     }
 
     @Override
-    public void onRejected(Reason why, double retryAfterMs) {
+    public void onRejected(Reason reason, double retryAfterMs) {
         if (retryAfterMs > 0) {
             String seconds = String.format(Locale.ROOT, "%.3f", retryAfterMs / 1_000);
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds);
         }
-        say(why == Reason.INVALID ? 413 : 503, "refused, a repeat does no harm");
+        respond(reason == Reason.INVALID ? 413 : 503, "refused, a repeat does no harm");
     }
 
     @Override
-    public void onFailed(Reason why) {
-        switch (why) {
-            case INVALID -> say(400, "not a valid request");
-            case DUPLICATE -> say(409, "Req-Id: open already");
-            case DEADLINE -> say(504, "no answer in time");
-            default -> say(502, "failed, it may have run");
+    public void onFailed(Reason reason) {
+        switch (reason) {
+            case INVALID -> respond(400, "not a valid request");
+            case DUPLICATE -> respond(409, "Req-Id: open already");
+            case DEADLINE -> respond(504, "no answer in time");
+            default -> respond(502, "failed, it may have run");
         }
     }
 
-    void say(int status, String message) {
-        if (over) return;
-        over = true;
+    void respond(int status, String message) {
+        if (finished) return;
+        finished = true;
         if (status != 200) LOG.debug("{}: {} {}", exchange.getRequestHeaders().getFirst("Req-Id"), status, message);
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
--- a/src/main/java/maplerail/front/platform/ResumedResponse.java
+++ b/src/main/java/maplerail/front/platform/ResumedResponse.java
@@ -12,78 +12,81 @@
 import org.xnio.StreamConnection;
 
 /**
- * A client whose answer was begun by another process: gets the rest of the chunks of a body whose head it has (RFC 9112,
- * 7.1). After a whole answer its connection goes on to whoever takes new ones, unless the client was told otherwise.
+ * Continues a response that another process began: sends the remaining chunks of a body whose head the client already
+ * has (RFC 9112, 7.1). After a complete response the connection serves further requests, unless the head announced its
+ * close.
  */
 public final class ResumedResponse implements ResponseObserver {
-    private static final int MOST_WAITING = 64 * 1024; // bytes that the client has not taken yet
-    private static final byte[] LAST = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int PAUSE_BYTES = 64 * 1024; // unsent bytes from which the stream is paused
+    private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final StreamConnection connection;
     private final boolean closes;
     private final AdoptedConnection client;
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private int waitingBytes;
-    private RequestHandle ticket;
+    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private int unsentBytes;
+    private RequestHandle requestHandle;
     private boolean paused;
-    private boolean ending;
-    private boolean over;
+    private boolean completed;
+    private boolean finished;
 
-    /** The client of a connection, which was told that it ends with this answer if {@code closes}. */
+    /**
+     * Creates the response on a connection; {@code closes} if the response's head announced {@code Connection: close}.
+     */
     public ResumedResponse(StreamConnection connection, boolean closes, AdoptedConnection client) {
         this.connection = connection;
         this.closes = closes;
         this.client = client;
     }
 
-    /** Its request goes on under this ticket; from here on it is seen when it leaves. */
-    public void attach(RequestHandle held) {
-        ticket = held;
+    /** Attaches the request's handle and starts to watch for a disconnect. */
+    public void attach(RequestHandle handle) {
+        requestHandle = handle;
         connection.getSinkChannel().setWriteListener(c -> write());
-        client.watch(this::look);
+        client.watch(this::onReadable);
     }
 
-    /** What has come is the next request's: it is read once this answer has ended. */
-    private void look() {
-        if (over) connection.getSourceChannel().suspendReads();
-        else if (client.isDisconnected()) left();
-        else if (client.isFull()) connection.getSourceChannel().suspendReads();
+    /** Checks for a disconnect. The input belongs to the next request, which is read after this response's end. */
+    private void onReadable() {
+        if (finished) connection.getSourceChannel().suspendReads();
+        else if (client.isDisconnected()) onDisconnected();
+        else if (client.isBufferFull()) connection.getSourceChannel().suspendReads();
     }
 
-    private void left() {
-        if (over) return;
-        over = true;
+    private void onDisconnected() {
+        if (finished) return;
+        finished = true;
         IoUtils.safeClose(connection);
-        ticket.onClientDisconnected();
+        requestHandle.onClientDisconnected();
     }
 
     @Override
     public boolean onEvent(byte[] event) {
-        if (over || event.length == 0) return true;
-        byte[] size = (Integer.toHexString(event.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-        add(ByteBuffer.allocate(size.length + event.length + 2)
-                .put(size)
+        if (finished || event.length == 0) return true;
+        byte[] sizeLine = (Integer.toHexString(event.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        send(ByteBuffer.allocate(sizeLine.length + event.length + 2)
+                .put(sizeLine)
                 .put(event)
                 .put((byte) '\r')
                 .put((byte) '\n')
                 .flip());
-        paused = waitingBytes > MOST_WAITING;
+        paused = unsentBytes > PAUSE_BYTES;
         return !paused;
     }
 
-    private void add(ByteBuffer bytes) {
-        waiting.add(bytes);
-        waitingBytes += bytes.remaining();
-        if (waiting.size() == 1) write();
+    private void send(ByteBuffer bytes) {
+        unsent.add(bytes);
+        unsentBytes += bytes.remaining();
+        if (unsent.size() == 1) write();
     }
 
     private void write() {
-        if (over) return;
+        if (finished) return;
         try {
-            while (!waiting.isEmpty()) {
-                int count = connection.getSinkChannel().write(waiting.peek());
-                waitingBytes -= count;
-                if (!waiting.peek().hasRemaining()) waiting.poll();
+            while (!unsent.isEmpty()) {
+                int count = connection.getSinkChannel().write(unsent.peek());
+                unsentBytes -= count;
+                if (!unsent.peek().hasRemaining()) unsent.poll();
                 else if (count == 0) {
                     connection.getSinkChannel().resumeWrites();
                     return;
@@ -91,53 +94,57 @@
             }
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            left();
+            onDisconnected();
             return;
         }
-        if (ending) {
-            over = true;
+        if (completed) {
+            finished = true;
             connection.getSourceChannel().suspendReads();
             client.finish(closes);
-        } else if (paused && waitingBytes <= MOST_WAITING / 2) {
+        } else if (paused && unsentBytes <= PAUSE_BYTES / 2) {
             paused = false;
-            ticket.onClientWritable();
+            requestHandle.onClientWritable();
         }
     }
 
     @Override
     public void onCompleted() {
-        if (over) return;
-        ending = true;
-        add(ByteBuffer.wrap(LAST));
+        if (finished) return;
+        completed = true;
+        send(ByteBuffer.wrap(LAST_CHUNK));
     }
 
     @Override
     public void onBroken() {
-        if (over) return;
-        over = true;
+        if (finished) return;
+        finished = true;
         IoUtils.safeClose(connection);
     }
 
     @Override
-    public void onRejected(Reason why, double retryAfterMs) {
-        onBroken(); // its answer has begun: there is no other way to say that it is over
+    public void onRejected(Reason reason, double retryAfterMs) {
+        onBroken(); // the response has begun, so an error can only be reported by closing the connection
     }
 
     @Override
-    public void onFailed(Reason why) {
+    public void onFailed(Reason reason) {
         onBroken();
     }
 
     @Override
     public Optional<Object> detachConnection() {
-        if (over || ending || client.isDisconnected() || client.hasSentMore() || !waiting.isEmpty())
+        if (finished || completed || client.isDisconnected() || client.hasUnreadInput() || !unsent.isEmpty())
             return Optional.empty();
-        over = true;
+        finished = true;
         connection.getSourceChannel().suspendReads();
         connection.getSinkChannel().suspendWrites();
         return Optional.of(new DetachedClient(connection, closes));
     }
 
-    /** A client's connection between two events, that nobody reads or writes any more, and whether it ends with its answer. */
+    /**
+     * A client connection that was detached between two events and is no longer read or written here.
+     *
+     * @param closes true if the response's head announced {@code Connection: close}
+     */
     public record DetachedClient(StreamConnection connection, boolean closes) {}
 }
--- a/src/test/java/maplerail/front/ConnectionManagerTest.java
+++ b/src/test/java/maplerail/front/ConnectionManagerTest.java
@@ -32,18 +32,18 @@
 import org.xnio.channels.AcceptingChannel;
 
 class ConnectionManagerTest {
-    private static final int LIMIT_MS = 20_000; // ends a test that would never end
+    private static final int TIMEOUT_MS = 20_000; // ends a test that would hang
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     private static Socket send(World world, String text) throws Exception {
         Socket socket = world.connect();
-        socket.setSoTimeout(LIMIT_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         return socket;
     }
 
     @Test
-    void whoSaysNothingOrHalfARequestIsTurnedOutButNotWhoWaitsForAnAnswer() throws Exception {
+    void silentAndIncompleteConnectionsTimeOutWhileAnOpenRequestDoesNot() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         String whole = request("a1", "lookup", "60").replaceFirst("\r\n", "\r\nConnection: close\r\n");
         try (StandIn reader = World.reader();
@@ -73,9 +73,9 @@
         }
     }
 
-    /** What has come before a resting connection's end is a request that was taken: it was reset, unread. */
+    /** A request that is unread when its idle connection is closed must be answered: it used to be lost by a reset. */
     @Test
-    void aRequestThatMeetsItsConnectionsEndIsAnswered() throws Exception {
+    void aRequestReceivedBeforeAnIdleCloseIsAnswered() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         XnioLoop loop = new XnioLoop(worker.getIoThread());
         HttpOpenListener http = new HttpOpenListener(new DefaultByteBufferPool(true, 8_192), OptionMap.EMPTY);
@@ -91,16 +91,16 @@
                 OptionMap.EMPTY)) {
             server.resumeAccepts();
             InetSocketAddress at = server.getLocalAddress(InetSocketAddress.class);
-            for (int answered = 0; answered < 2; answered++) { // one that rests, and one that is new
+            for (int round = 0; round < 2; round++) { // an idle connection, then a new one
                 CountDownLatch written = new CountDownLatch(1);
                 CountDownLatch closed = new CountDownLatch(1);
                 try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                    client.setSoTimeout(LIMIT_MS);
-                    if (answered == 0) {
+                    client.setSoTimeout(TIMEOUT_MS);
+                    if (round == 0) {
                         client.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
                         assertThat(client.getInputStream().read()).isEqualTo('H');
-                        World.await("it rests", () -> connections.busyCount() == 0);
-                    } else World.await("it is let in", () -> connections.openCount() == 1);
+                        World.await("the connection is idle", () -> connections.busyCount() == 0);
+                    } else World.await("the connection is admitted", () -> connections.openCount() == 1);
                     loop.execute(() -> {
                         try {
                             written.await();
@@ -119,7 +119,7 @@
                             .contains("HTTP/1.1 200")
                             .endsWith("answer");
                 }
-                World.await("it is gone", () -> connections.openCount() == 0);
+                World.await("the connection is closed", () -> connections.openCount() == 0);
             }
         } finally {
             loop.execute(loop::close);
@@ -127,10 +127,13 @@
         }
     }
 
-    /** Ended over bytes that came behind its request, a connection was reset, and its client never read the rest of its answer. */
+    /**
+     * Closing a connection with unread input after its request resets it, and the client loses the rest of its
+     * response.
+     */
     @Test
-    void anAnswerIsReadToItsEndThoughMoreCameBehindItsRequest() throws Exception {
-        byte[] many = new byte[100_000];
+    void aResponseIsDeliveredCompletelyDespiteUnreadInputAfterItsRequest() throws Exception {
+        byte[] unread = new byte[100_000];
         String event = "data: " + "x".repeat(20_000) + "\n\n";
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(x -> {
@@ -144,72 +147,72 @@
                         .start();
                 Socket client = new Socket()) {
             client.setReceiveBufferSize(4_096);
-            client.setSoTimeout(LIMIT_MS);
+            client.setSoTimeout(TIMEOUT_MS);
             client.connect(world.gateway.address());
             client.getOutputStream()
                     .write(request("a1", "lookup", "5.0")
                             .replaceFirst("\r\n", "\r\nConnection: close\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            client.getOutputStream().write(many);
-            World.await("answered", () -> world.gateway.openRequests() == 0 && writer.count("POST") == 1);
+            client.getOutputStream().write(unread);
+            World.await("the response is sent", () -> world.gateway.openRequests() == 0 && writer.count("POST") == 1);
             assertThat(World.readAll(client.getInputStream())).endsWith("\n\n\r\n0\r\n\r\n");
         }
     }
 
-    /** Clients that ask once and stay would otherwise take every descriptor. */
+    /** Clients that stay connected after one request would otherwise use up all descriptors. */
     @Test
-    void idleConnectionsMakeRoomForNewOnes() throws Exception {
-        List<Socket> stayed = new ArrayList<>();
+    void idleConnectionsAreClosedForNewOnes() throws Exception {
+        List<Socket> clients = new ArrayList<>();
         try (World world = new World().sockets(128).start()) {
             for (int i = 0; i < 100; i++) {
-                stayed.add(send(world, READY));
-                assertThat(stayed.get(i).getInputStream().read()).isEqualTo('H');
+                clients.add(send(world, READY));
+                assertThat(clients.get(i).getInputStream().read()).isEqualTo('H');
             }
-            assertThat(World.readAll(stayed.get(0).getInputStream())).startsWith("TTP/1.1 200");
-            Socket last = stayed.get(99);
+            assertThat(World.readAll(clients.get(0).getInputStream())).startsWith("TTP/1.1 200");
+            Socket last = clients.get(99);
             last.getOutputStream().write(READY.getBytes(StandardCharsets.UTF_8));
             assertThat(last.getInputStream().read()).isPositive();
         } finally {
-            for (Socket socket : stayed) socket.close();
+            for (Socket socket : clients) socket.close();
         }
     }
 
-    /** A crowd taken in at one go kept the loop from what engines had answered. */
+    /** A burst of connections that is admitted all at once keeps the loop from reading engine responses. */
     @Test
-    void aCrowdComesInAFewAtATime() throws Exception {
+    void aBurstOfConnectionsIsAdmittedInBatches() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        AtomicInteger came = new AtomicInteger();
-        AtomicInteger most = new AtomicInteger();
-        AcceptThrottle turnstile = new AcceptThrottle(connection -> came.incrementAndGet(), waiting -> {}, loop);
-        CountDownLatch crowded = new CountDownLatch(1);
-        List<Socket> crowd = new ArrayList<>();
+        AtomicInteger admitted = new AtomicInteger();
+        AtomicInteger maxPerTurn = new AtomicInteger();
+        AcceptThrottle throttle = new AcceptThrottle(connection -> admitted.incrementAndGet(), waiting -> {}, loop);
+        CountDownLatch allConnected = new CountDownLatch(1);
+        List<Socket> clients = new ArrayList<>();
         try (AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(
-                new InetSocketAddress("127.0.0.1", 0), turnstile, OptionMap.create(Options.BACKLOG, 200))) {
+                new InetSocketAddress("127.0.0.1", 0), throttle, OptionMap.create(Options.BACKLOG, 200))) {
             loop.execute(() -> {
                 try {
-                    crowded.await();
+                    allConnected.await();
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            loop.execute(() -> step(loop, came, most, 0));
+            loop.execute(() -> trackMaxPerTurn(loop, admitted, maxPerTurn, 0));
             server.resumeAccepts();
             InetSocketAddress at = server.getLocalAddress(InetSocketAddress.class);
-            for (int i = 0; i < 100; i++) crowd.add(new Socket(at.getAddress(), at.getPort()));
-            crowded.countDown();
-            World.await("all of them", () -> came.get() == 100);
-            assertThat(most.get()).isBetween(1, 3 * AcceptThrottle.AT_ONCE);
+            for (int i = 0; i < 100; i++) clients.add(new Socket(at.getAddress(), at.getPort()));
+            allConnected.countDown();
+            World.await("all connections are admitted", () -> admitted.get() == 100);
+            assertThat(maxPerTurn.get()).isBetween(1, 3 * AcceptThrottle.BATCH_SIZE);
         } finally {
-            for (Socket socket : crowd) socket.close();
+            for (Socket socket : clients) socket.close();
             loop.execute(loop::close);
             worker.shutdownNow();
         }
     }
 
-    /** After a restart a crowd met a program that ran all its code for the first time, and was refused by the dozen. */
+    /** After a restart, a burst of connections reaches a process whose code is not warm yet, and many were rejected. */
     @Test
-    void aLoopThatIsLateLetsInOneAtATime() throws Exception {
+    void aLateLoopAdmitsOneConnectionAtATime() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
             double[] now = {0};
@@ -233,26 +236,26 @@
                     getClass().getClassLoader(),
                     new Class<?>[] {AcceptingChannel.class},
                     (proxy, method, arguments) -> queue.poll());
-            List<StreamConnection> in = new ArrayList<>();
+            List<StreamConnection> admitted = new ArrayList<>();
             @SuppressWarnings("unchecked")
             AcceptingChannel<StreamConnection> listening = (AcceptingChannel<StreamConnection>) from;
-            new AcceptThrottle(in::add, waiting -> {}, loop).handleEvent(listening);
-            assertThat(in).hasSize(AcceptThrottle.AT_ONCE);
+            new AcceptThrottle(admitted::add, waiting -> {}, loop).handleEvent(listening);
+            assertThat(admitted).hasSize(AcceptThrottle.BATCH_SIZE);
             now[0] += 200;
             due.poll().run();
-            assertThat(in).as("late").hasSize(AcceptThrottle.AT_ONCE + 1);
+            assertThat(admitted).as("late").hasSize(AcceptThrottle.BATCH_SIZE + 1);
             now[0] += 2;
             due.poll().run();
-            assertThat(in).as("in time again").hasSize(2 * AcceptThrottle.AT_ONCE + 1);
+            assertThat(admitted).as("no longer late").hasSize(2 * AcceptThrottle.BATCH_SIZE + 1);
         } finally {
             worker.shutdownNow();
         }
     }
 
-    /** Notes how many came since the loop was last here. */
-    private static void step(XnioLoop loop, AtomicInteger came, AtomicInteger most, int before) {
-        int now = came.get();
-        most.accumulateAndGet(now - before, Math::max);
-        if (now < 100) loop.schedule(loop.nowMs() + 1, () -> step(loop, came, most, now));
+    /** Records the maximum number of connections admitted between two turns of the loop. */
+    private static void trackMaxPerTurn(XnioLoop loop, AtomicInteger admitted, AtomicInteger maxPerTurn, int before) {
+        int now = admitted.get();
+        maxPerTurn.accumulateAndGet(now - before, Math::max);
+        if (now < 100) loop.schedule(loop.nowMs() + 1, () -> trackMaxPerTurn(loop, admitted, maxPerTurn, now));
     }
 }
--- a/src/test/java/maplerail/front/ConsulStandIn.java
+++ b/src/test/java/maplerail/front/ConsulStandIn.java
@@ -5,13 +5,16 @@
 import java.util.List;
 import maplerail.support.StandIn;
 
-/** The part of Consul's HTTP API that is used, after its public description: blocking queries and their index. */
+/**
+ * The part of Consul's HTTP API that the gateway uses, after its public documentation: blocking queries and their
+ * index.
+ */
 final class ConsulStandIn implements AutoCloseable {
     private final StandIn server;
     private final StandIn[] tools;
     private final List<String> states = new ArrayList<>();
     private long index = 100;
-    private int asked;
+    private int healthQueries;
 
     ConsulStandIn(StandIn... tools) throws IOException {
         this.tools = tools;
@@ -36,7 +39,7 @@
     }
 
     private synchronized String healthAfter(long known) throws InterruptedException {
-        asked++;
+        healthQueries++;
         while (known == index) wait();
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < tools.length; i++) {
@@ -55,14 +58,14 @@
         notifyAll();
     }
 
-    /** A server that was restored: its index is far behind. */
+    /** Simulates a server restored from a backup, whose index is lower than before. */
     synchronized void restart() {
         index = 3;
         notifyAll();
     }
 
-    synchronized int asked() {
-        return asked;
+    synchronized int healthQueries() {
+        return healthQueries;
     }
 
     String address() {
--- a/src/test/java/maplerail/front/DisconnectDetectorTest.java
+++ b/src/test/java/maplerail/front/DisconnectDetectorTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client that has left, or called its request off, gets no attempt that has not begun, at either front. */
+/** At both fronts, no further attempt is started for a client that has disconnected or cancelled its request. */
 class DisconnectDetectorTest {
     private static final String TOOLS = """
             {"listen":"127.0.0.1:0","services":{"records":{"path":"/tool","servers":["%s","%s"]}},
@@ -31,7 +31,7 @@
     private static final String CANCEL =
             "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}";
 
-    private static void leave(Socket client, String how) throws Exception {
+    private static void disconnect(Socket client, String how) throws Exception {
         if (how.startsWith("early"))
             client.getOutputStream().write(request("b2", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
         if (how.endsWith("half")) client.shutdownOutput();
@@ -39,28 +39,28 @@
         if (!how.endsWith("half")) client.close();
     }
 
-    /** Holds the loop while something happens, so that it all waits for its turn behind what came before. */
-    private static void behind(World world, Task meanwhile) throws Exception {
-        CountDownLatch holds = new CountDownLatch(1);
+    /** Runs an action while the loop is blocked, so that the loop processes all of its effects afterwards. */
+    private static void whileLoopIsBlocked(World world, Action action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         world.gateway.onLoop(() -> {
-            holds.countDown();
+            blocked.countDown();
             try {
                 release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        holds.await();
-        meanwhile.run();
+        blocked.await();
+        action.run();
         release.countDown();
     }
 
-    private interface Task {
+    private interface Action {
         void run() throws Exception;
     }
 
-    /** Between read and write, whatever the client sent before it went. */
+    /** Disconnects between read and write, also after further input. */
     @ParameterizedTest
     @CsvSource({
         "close, false",
@@ -74,17 +74,17 @@
         "early close, true",
         "early half, true"
     })
-    void nothingIsWrittenForAClientThatLeftDuringItsRead(String how, boolean behind) throws Exception {
+    void noWriteIsStartedForAClientThatDisconnectedDuringItsRead(String how, boolean loopBlocked) throws Exception {
         BlockingQueue<StandIn.Exchange> reads = World.queue();
         CountDownLatch done = new CountDownLatch(1);
-        StandIn.Handler holding = x -> {
+        StandIn.Handler blocking = x -> {
             if (x.method.equals("DELETE")) x.reply(204, "");
             else {
                 reads.add(x);
                 done.await();
             }
         };
-        try (StandIn reader = new StandIn(holding);
+        try (StandIn reader = new StandIn(blocking);
                 StandIn writer = World.writer();
                 World world = new World()
                         .engine("r", "prefill", reader)
@@ -93,26 +93,26 @@
                 Socket client = world.connect()) {
             client.getOutputStream().write(request("a1", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
             StandIn.Exchange read = take(reads);
-            Task meanwhile = () -> {
-                leave(client, how);
+            Action action = () -> {
+                disconnect(client, how);
                 read.reply(202, "{\"cached_tokens\":0}");
             };
-            if (behind) behind(world, meanwhile);
+            if (loopBlocked) whileLoopIsBlocked(world, action);
             else {
-                leave(client, how);
-                await("its leaving noticed", () -> world.gateway.openRequests() == 0);
+                disconnect(client, how);
+                await("the disconnect is detected", () -> world.gateway.openRequests() == 0);
             }
-            await("nothing is remembered", () -> world.gateway.openRequests() == 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
             done.countDown();
-            await("what may be held is let go", () -> reader.count("DELETE") > 0);
+            await("the state is released", () -> reader.count("DELETE") > 0);
             assertThat(writer.count("POST")).isZero();
         }
     }
 
-    /** Before its first attempt: it went while its request waited for its turn on the loop. */
+    /** Disconnects before the first attempt, while the request waits for the loop. */
     @ParameterizedTest
     @ValueSource(strings = {"close", "half", "reset"})
-    void nothingIsBegunForAClientThatLeftBeforeItsRequestWasTaken(String how) throws Exception {
+    void noAttemptIsStartedForAClientThatDisconnectedBeforeItsRequestWasProcessed(String how) throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World()
@@ -121,19 +121,19 @@
                         .start();
                 Socket client = world.connect()) {
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            behind(world, () -> {
+            whileLoopIsBlocked(world, () -> {
                 client.getOutputStream().write(request("a2", "lookup", "5.0").getBytes(StandardCharsets.UTF_8));
-                leave(client, how);
+                disconnect(client, how);
             });
             assertThat(world.exchange(request("a3", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("nothing is remembered", () -> world.gateway.openRequests() == 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
             assertThat(reader.count("POST")).isEqualTo(2);
         }
     }
 
-    /** A second request that came early is served after the first, byte for byte. */
+    /** A second request that was sent before the first response is forwarded unchanged afterwards. */
     @Test
-    void whatCameEarlyIsReadInItsTurn() throws Exception {
+    void aPipelinedRequestIsServedAfterTheFirst() throws Exception {
         BlockingQueue<StandIn.Exchange> reads = World.queue();
         try (StandIn reader = new StandIn(x -> {
                     if (x.method.equals("DELETE")) x.reply(204, "");
@@ -146,7 +146,7 @@
                         .engine("w", "decode", writer)
                         .start();
                 Socket client = world.connect()) {
-            String body = "x".repeat(100_000); // more than is looked at ahead
+            String body = "x".repeat(100_000); // larger than the read-ahead buffer
             String second = request("a2", "lookup", "15.0")
                     .replace("Content-Length: 15", "Content-Length: " + body.length())
                     .replace("{\"stream\":true}", body)
@@ -162,27 +162,27 @@
         }
     }
 
-    /** Between an attempt and its repeat, at the second front. */
+    /** Disconnects or cancels between an attempt and its retry, at the JSON-RPC front. */
     @ParameterizedTest
     @ValueSource(strings = {"abort", "cancel", "bare close", "bare half", "bare early close"})
-    void aCallWhoseClientLeftOrCalledItOffIsNotRepeated(String how) throws Exception {
+    void aCallIsNotRetriedAfterItsClientDisconnectsOrCancels(String how) throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
-        StandIn.Handler holding = x -> {
+        StandIn.Handler unanswering = x -> {
             calls.add(x);
             x.awaitEnd();
         };
-        try (StandIn one = new StandIn(holding);
-                StandIn other = new StandIn(holding);
+        try (StandIn one = new StandIn(unanswering);
+                StandIn other = new StandIn(unanswering);
                 World world = new World().start(TOOLS.formatted(one.address(), other.address()))) {
             int port = world.gateway.rpcAddress().getPort();
-            Task leaving;
+            Action disconnecting;
             if (how.startsWith("bare")) {
                 Socket client = new Socket("127.0.0.1", port);
                 client.getOutputStream()
                         .write(("POST /rpc HTTP/1.1\r\nHost: x\r\nReq-Owner: cyngor-glannau\r\nContent-Length: "
                                         + CALL.length() + "\r\n\r\n" + CALL)
                                 .getBytes(StandardCharsets.UTF_8));
-                leaving = () -> leave(client, how.substring(5));
+                disconnecting = () -> disconnect(client, how.substring(5));
             } else {
                 WebSocket client = HttpClient.newHttpClient()
                         .newWebSocketBuilder()
@@ -190,16 +190,16 @@
                         .buildAsync(URI.create("ws://127.0.0.1:" + port + "/rpc"), new WebSocket.Listener() {})
                         .join();
                 client.sendText(CALL, true).join();
-                leaving = how.equals("abort")
+                disconnecting = how.equals("abort")
                         ? client::abort
                         : () -> client.sendText(CANCEL, true).join();
             }
             StandIn.Exchange call = take(calls);
-            behind(world, () -> {
-                leaving.run();
+            whileLoopIsBlocked(world, () -> {
+                disconnecting.run();
                 call.reply(500, "");
             });
-            await("nothing is remembered", () -> world.gateway.openRequests() == 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
             assertThat(one.count("POST") + other.count("POST")).isEqualTo(1);
         }
     }
