--- a/src/test/java/maplerail/front/HttpSessionTest.java
+++ b/src/test/java/maplerail/front/HttpSessionTest.java
@@ -21,17 +21,18 @@
 import maplerail.support.World;
 import org.junit.jupiter.api.Test;
 
-/** Tool calls over HTTP: sessions, streams that break and are taken up again, and what ends with them. */
+/** Tool calls over HTTP: sessions, resumption of streams, and the cancellation of requests when a session ends. */
 class HttpSessionTest {
     private static final String INITIALIZE = "{\"jsonrpc\":\"2.0\",\"id\":0,\"method\":\"initialize\",\"params\":"
             + "{\"protocolVersion\":\"2025-06-18\",\"capabilities\":{},\"clientInfo\":{\"name\":\"t\",\"version\":\"1\"}}}";
     private static final String INITIALIZED = "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/initialized\"}";
     private static final String RESULT = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"lamp\":1.50}}";
 
-    private static final String ASK = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"answers/stream\",\"params\":{"
-            + "\"kind\":\"lookup\",\"deadline_ms\":5000,\"max_out\":100,\"body\":{\"stream\":true}}}";
+    private static final String ANSWER_REQUEST =
+            "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"answers/stream\",\"params\":{"
+                    + "\"kind\":\"lookup\",\"deadline_ms\":5000,\"max_out\":100,\"body\":{\"stream\":true}}}";
 
-    private static World world(String more, StandIn... servers) throws Exception {
+    private static World world(String extraSettings, StandIn... servers) throws Exception {
         String list = String.join(
                 "\",\"", java.util.Arrays.stream(servers).map(StandIn::address).toList());
         return new World().start("""
@@ -42,7 +43,7 @@
                  "tools":{"columns.find":{"service":"records","contract":"find"},
                   "orders.raise":{"service":"records","contract":"raise"}},
                  "teams":{"cyngor-glannau":{"calls_per_s":1000,"calls_in_flight":40},
-                  "cyngor-bryniau":{"calls_per_s":1000,"calls_in_flight":40}}}""".formatted(more, list));
+                  "cyngor-bryniau":{"calls_per_s":1000,"calls_in_flight":40}}}""".formatted(extraSettings, list));
     }
 
     private static StandIn tool(AtomicInteger effects) throws Exception {
@@ -93,30 +94,30 @@
                         .at("error")
                         .at("code")
                         .number())
-                .as("before its time")
+                .as("before initialization")
                 .isEqualTo(-32600);
         assertThat(post(world, session, INITIALIZED).statusCode()).isEqualTo(202);
         return session;
     }
 
-    /** A connection that a test can cut; what it has heard, event by event. */
+    /** A connection that a test can close at any point, with the events received on it. */
     private static final class Stream implements AutoCloseable {
         final Socket socket;
         final BufferedReader in;
         String lastId;
 
-        Stream(World world, String request, String session, String body, String more) throws Exception {
+        Stream(World world, String request, String session, String body, String extraHeaders) throws Exception {
             socket = new Socket("127.0.0.1", world.gateway.rpcAddress().getPort());
             socket.getOutputStream()
                     .write((request + " /rpc HTTP/1.1\r\nHost: x\r\nReq-Owner: cyngor-glannau\r\n"
-                                    + "Accept: text/event-stream\r\nMcp-Session-Id: " + session + "\r\n" + more
+                                    + "Accept: text/event-stream\r\nMcp-Session-Id: " + session + "\r\n" + extraHeaders
                                     + "Content-Length: "
                                     + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.UTF_8));
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        /** The next event's data; an id on its own is noted, and null is the end. */
+        /** The next event's data, null at the end of the stream; ids are recorded. */
         String next() throws Exception {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("id: ")) lastId = line.substring(4);
@@ -140,7 +141,7 @@
     }
 
     @Test
-    void aSessionIsOpenedUsedAndEnded() throws Exception {
+    void aSessionIsOpenedUsedAndClosed() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         try (StandIn tool = tool(effects);
                 World world = world("", tool)) {
@@ -180,9 +181,9 @@
         }
     }
 
-    /** Back-pressure reaches the engine, and nothing else: other calls of the session, and other sessions, go on. */
+    /** Back-pressure reaches the engine only: other calls of the session and other sessions continue. */
     @Test
-    void aClientThatDoesNotReadHoldsUpItsOwnStreamOnly() throws Exception {
+    void aSlowClientPausesOnlyItsOwnStream() throws Exception {
         int all = 4_000;
         AtomicInteger written = new AtomicInteger();
         try (StandIn reader = World.reader();
@@ -203,16 +204,16 @@
                  "teams":{"cyngor-glannau":{"calls_per_s":1000,"calls_in_flight":4}}}""".formatted(tool.address()))) {
             String session = open(world);
             String other = open(world);
-            try (Stream stalled = new Stream(world, "POST", session, ASK, "")) {
+            try (Stream stalled = new Stream(world, "POST", session, ANSWER_REQUEST, "")) {
                 AtomicInteger before = new AtomicInteger(-1);
-                await("the engine is held up", () -> {
-                    // Refused is an answer too, while the flood keeps the loop busy; in the end both are served.
-                    boolean served = called(world, session).contains("\"lamp\":1.50")
-                            && called(world, other).contains("\"lamp\":1.50");
+                await("the engine is paused", () -> {
+                    // A call may be rejected while the stream keeps the loop busy; eventually both are served.
+                    boolean served = callTool(world, session).contains("\"lamp\":1.50")
+                            && callTool(world, other).contains("\"lamp\":1.50");
                     return served && written.get() > 0 && before.getAndSet(written.get()) == written.get();
                 });
                 assertThat(written.get()).isLessThan(all);
-                assertThat(world.gateway.rpcHeld()[1]).as("characters kept").isLessThan(1 << 20);
+                assertThat(world.gateway.rpcHeld()[1]).as("buffered characters").isLessThan(1 << 20);
                 for (int i = 0; i < all; i++) {
                     String data = Tree.object("e", stalled.next())
                             .at("params")
@@ -225,7 +226,7 @@
         }
     }
 
-    private static String called(World world, String session) {
+    private static String callTool(World world, String session) {
         try {
             return post(world, session, call(9, "columns.find")).body();
         } catch (Exception e) {
@@ -234,7 +235,7 @@
     }
 
     @Test
-    void aClientThatLostItsConnectionHearsTheRestOnceAndInOrder() throws Exception {
+    void aResumedStreamDeliversTheRemainingEventsOnceAndInOrder() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(x -> {
@@ -251,27 +252,28 @@
                  "tools":{"columns.find":{"service":"records","contract":"find"}},
                  "teams":{"cyngor-glannau":{"calls_per_s":100,"calls_in_flight":4}}}""".formatted(tool.address()))) {
             String session = open(world);
-            List<String> heard = new ArrayList<>();
+            List<String> received = new ArrayList<>();
             String last;
             StandIn.Exchange answer;
-            try (Stream first = new Stream(world, "POST", session, ASK, "")) {
+            try (Stream first = new Stream(world, "POST", session, ANSWER_REQUEST, "")) {
                 answer = take(streams);
                 for (int i = 0; i < 3; i++) answer.chunk("data: n" + i + "\n\n");
                 for (int i = 0; i < 2; i++)
-                    heard.add(Tree.object("e", first.next())
+                    received.add(Tree.object("e", first.next())
                             .at("params")
                             .at("data")
                             .text());
                 last = first.lastId;
             }
             for (int i = 3; i < 6; i++) answer.chunk("data: n" + i + "\n\n");
-            // Twice with one session: the second takes the stream from the first.
+            // Two resumptions in one session: the second takes the stream over from the first.
             try (Stream one = new Stream(world, "GET", session, "", "Last-Event-ID: " + last + "\r\n")) {
-                heard.add(Tree.object("e", one.next()).at("params").at("data").text());
+                received.add(
+                        Tree.object("e", one.next()).at("params").at("data").text());
                 last = one.lastId;
                 try (Stream two = new Stream(world, "GET", session, "", "Last-Event-ID: " + last + "\r\n")) {
                     for (int i = 3; i < 6; i++)
-                        heard.add(Tree.object("e", two.next())
+                        received.add(Tree.object("e", two.next())
                                 .at("params")
                                 .at("data")
                                 .text());
@@ -281,10 +283,10 @@
                     last = two.lastId;
                 }
             }
-            assertThat(heard).containsExactly("n0", "n1", "n2", "n3", "n4", "n5");
+            assertThat(received).containsExactly("n0", "n1", "n2", "n3", "n4", "n5");
             String stream = last.split("-")[0];
-            for (String gone : List.of(stream + "-999", "99-1")) {
-                assertThat(send(world, "GET", session, "cyngor-glannau", null, "Last-Event-ID", gone)
+            for (String unknownEvent : List.of(stream + "-999", "99-1")) {
+                assertThat(send(world, "GET", session, "cyngor-glannau", null, "Last-Event-ID", unknownEvent)
                                 .statusCode())
                         .isEqualTo(410);
             }
@@ -295,7 +297,7 @@
     }
 
     @Test
-    void aLostConnectionIsNoCancellationAndASessionThatIsLeftIs() throws Exception {
+    void aLostConnectionCancelsNothingAndAnExpiredSessionCancelsItsCalls() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         AtomicInteger ended = new AtomicInteger();
         try (StandIn tool = new StandIn(x -> {
@@ -313,7 +315,7 @@
                 last = cut.lastId;
                 take(calls);
             }
-            // Reads the reply to the call through the connection that is still open at the tool server.
+            // Resumes the stream of the call, which is still open at the tool server.
             try (Stream again = new Stream(world, "GET", session, "", "Last-Event-ID: " + last + "\r\n")) {
                 again.awaitId();
                 try (Stream other = new Stream(world, "POST", session, call(2, "columns.find"), "")) {
@@ -323,18 +325,18 @@
                 }
                 assertThat(tool.count("POST")).isEqualTo(2);
             }
-            await("called off with the session", () -> ended.get() == 1);
+            await("the call is cancelled with the session", () -> ended.get() == 1);
             await(
-                    "forgotten",
+                    "the session is removed",
                     () -> world.gateway.rpcHeld()[0] == 0 && world.gateway.rpcHeld()[1] == 0);
             assertThat(post(world, session, call(3, "columns.find")).statusCode())
                     .isEqualTo(404);
-            assertThat(tool.count("POST")).as("nothing was sent twice").isEqualTo(2);
+            assertThat(tool.count("POST")).as("calls sent").isEqualTo(2);
         }
     }
 
     @Test
-    void aToolServersNoToOneCallIsNotItsIllHealth() throws Exception {
+    void aClientErrorFromAToolServerDoesNotCountAgainstItsHealth() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         try (StandIn tool = new StandIn(x -> {
                     if (x.body.contains("orders.raise")) x.reply(422, "{}");
@@ -350,7 +352,7 @@
                 assertThat(post(world, session, call(id, "orders.raise")).body())
                         .contains("-32001", "mayHaveRun\":true");
             }
-            assertThat(tool.count("POST")).as("sent once each").isEqualTo(12);
+            assertThat(tool.count("POST")).as("calls sent, one per request").isEqualTo(12);
             for (int id = 21; id <= 24; id++) {
                 assertThat(post(world, session, call(id, "columns.find")).body())
                         .contains("\"lamp\":1.50");
--- a/src/test/java/maplerail/front/PlatformTest.java
+++ b/src/test/java/maplerail/front/PlatformTest.java
@@ -17,7 +17,7 @@
 
 class PlatformTest {
     @Test
-    void aRequestIsReadThenWrittenAndItsEventsPassUnchanged() throws Exception {
+    void aRequestIsReadThenWrittenAndItsEventsAreForwardedUnchanged() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 World world = new World()
@@ -31,7 +31,7 @@
                     .endsWith("0\r\n\r\n");
             assertThat(reader.seen).containsExactly("POST /v1/chat/completions?x=%41");
             assertThat(writer.seen).containsExactly("POST /v1/chat/completions?x=%41");
-            await("nothing remembered", () -> world.gateway.openRequests() == 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
         }
     }
 
@@ -50,7 +50,7 @@
             POST /v1                     | GET /v1                          | 405
             POST /v1/chat/completions    | POST /-/load                     | 404
             """)
-    void badInputIsTheClientsAndGoesNoFurther(String right, String wrong, int status) throws Exception {
+    void invalidRequestsAreRejectedWithoutAnAttempt(String right, String wrong, int status) throws Exception {
         try (StandIn reader = World.reader();
                 World world = new World().engine("r", "prefill", reader).start()) {
             String answer = world.exchange(request("a1", "lookup", "5.0").replace(right, wrong));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aBodyInChunksIsTooLargeAtTheSameLength() throws Exception {
+    void aChunkedBodyHasTheSameSizeLimit() throws Exception {
         try (StandIn reader = World.reader();
                 World world = new World().engine("r", "prefill", reader).start();
                 Socket client = world.connect()) {
@@ -76,9 +76,9 @@
         }
     }
 
-    /** A gateway that starts anew serves from the list that it last had, though discovery says nothing. */
+    /** A restarted gateway serves from its last endpoint list while discovery does not answer. */
     @Test
-    void theKnownListServesWhileDiscoveryIsSilent() throws Exception {
+    void theLastEndpointListIsUsedWhileDiscoveryDoesNotAnswer() throws Exception {
         try (StandIn silent = new StandIn(StandIn.Exchange::awaitEnd);
                 StandIn reader = World.reader();
                 StandIn writer = World.writer();
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void whatTheModuleGivesUpOnIsRefusedWithAdvice() throws Exception {
+    void aRequestWithoutAnAvailableEngineIsRejectedWithRetryAfter() throws Exception {
         try (World world = new World().start()) {
             assertThat(world.gateway.openRequests()).isZero();
             try (StandIn drained = World.reader()) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** What an engine's answer means shows in what is sent next and in the one final answer. */
+    /** The outcome of an attempt and the class decide whether the request is retried, and the client's response. */
     @ParameterizedTest
     @CsvSource({
         "full,lookup,200,2",
@@ -128,7 +128,8 @@
         "error,lookup,200,2",
         "reset,lookup,200,2"
     })
-    void outcomesDecideWhatMayBeSentAgain(String how, String kind, int status, int sends) throws Exception {
+    void outcomeAndClassDecideWhetherARequestIsRetried(String how, String kind, int status, int sends)
+            throws Exception {
         BlockingQueue<String> first = World.queue();
         first.add(how);
         StandIn.Handler handler = x -> {
@@ -156,13 +157,14 @@
                         .start()) {
             assertThat(world.exchange(request("a1", kind, "5.0"))).startsWith("HTTP/1.1 " + status);
             assertThat(writer.count("POST") + other.count("POST")).isEqualTo(sends);
-            await("nothing remembered", () -> world.gateway.openRequests() == 0);
-            if (status == 502) await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
+            if (status == 502)
+                await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
         }
     }
 
     @Test
-    void aBrokenStreamEndsTheConnectionWithNoLastChunk() throws Exception {
+    void aBrokenStreamClosesTheConnectionWithoutALastChunk() throws Exception {
         StandIn.Handler handler = x -> {
             x.stream();
             x.chunk("data: 1\n\ndata: hal");
@@ -180,15 +182,15 @@
         }
     }
 
-    /** The connection stays open, but nothing on it can be believed any more. */
+    /** The engine's connection stays open, but its remaining data can't be trusted. */
     @ParameterizedTest
     @ValueSource(
             strings = {"zz\r\n", "\r\n", "3\r\ndata: 2\n\n\r\n", "c0000000\r\ndata", "99\r\ndata: 2\n\n\r\n0\r\n\r\n"})
-    void aSpoiltStreamIsNeverWhole(String spoilt) throws Exception {
+    void aMalformedStreamIsNeverCompleted(String malformed) throws Exception {
         StandIn.Handler handler = x -> {
             x.stream();
             x.chunk("data: 1\n\n");
-            x.write(spoilt);
+            x.write(malformed);
             x.awaitEnd();
         };
         try (StandIn reader = World.reader();
@@ -202,13 +204,13 @@
                     .endsWith("data: 1\n\n\r\n")
                     .doesNotContain("data: 2")
                     .doesNotContain("\r\n0\r\n");
-            await("the spoilt connection ended", () -> writer.ended() == 1);
+            await("the engine connection is closed", () -> writer.ended() == 1);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"noise\n", "HTTP/1.1 200 OK\r\nno header\r\n\r\n", "HTTP/1.1 200 OK\r\nA: "})
-    void aHeadThatCannotBeReadIsAnAttemptThatMayHaveRun(String head) throws Exception {
+    void aMalformedResponseHeadCountsAsAnAttemptThatMayHaveRun(String head) throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(x -> {
                     x.write(head);
@@ -223,16 +225,16 @@
         }
     }
 
-    /** Engines that turn one client's nonsense away are not failing, and need not all be asked. */
+    /** An engine that rejects an invalid request has not failed, and the request is not sent to other engines. */
     @ParameterizedTest
     @ValueSource(ints = {400, 404, 422})
-    void whatAnEngineCannotUseIsTheClientsFault(int status) throws Exception {
-        StandIn.Handler picky = x -> {
+    void aRequestThatAnEngineFindsInvalidIsNotRetried(int status) throws Exception {
+        StandIn.Handler validating = x -> {
             if (x.method.equals("POST") && x.headers.get("req-id").startsWith("bad")) x.reply(status, "");
             else x.reply(202, "{}");
         };
-        try (StandIn reader = new StandIn(picky);
-                StandIn other = new StandIn(picky);
+        try (StandIn reader = new StandIn(validating);
+                StandIn other = new StandIn(validating);
                 StandIn writer = World.writer();
                 World world = new World()
                         .engine("r1", "prefill", reader)
@@ -244,12 +246,12 @@
                 assertThat(reader.count("POST") + other.count("POST")).isEqualTo(i);
             }
             assertThat(world.exchange(request("a1", "lookup", "5.0"))).startsWith("HTTP/1.1 200");
-            await("nothing remembered", () -> world.gateway.openRequests() == 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
         }
     }
 
     @Test
-    void aStreamWithoutAnEndOfItsOwnIsNotWhole() throws Exception {
+    void aStreamDelimitedByTheConnectionsEndIsNotCompleted() throws Exception {
         StandIn.Handler handler = x -> {
             x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndata: 1\n\n");
             x.reset();
@@ -265,7 +267,7 @@
     }
 
     @Test
-    void aClientThatLeavesEndsTheAttemptAndLetsTheStateGo() throws Exception {
+    void aClientDisconnectCancelsTheAttemptAndReleasesTheState() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         BlockingQueue<String> ended = World.queue();
         StandIn.Handler silent = x -> {
@@ -285,14 +287,14 @@
                     .isBetween(0.0, 5.0);
             client.close();
             assertThat(take(ended)).isEqualTo("a1");
-            await("the state let go", () -> reader.count("DELETE /internal/reservations/a1") > 0);
-            await("nothing remembered", () -> world.gateway.openRequests() == 0);
+            await("the state is released", () -> reader.count("DELETE /internal/reservations/a1") > 0);
+            await("no request is open", () -> world.gateway.openRequests() == 0);
         }
     }
 
-    /** Seen on a day of engines replaced: a reader that had left with a state could not be told to let it go. */
+    /** Happened while engines were replaced: the release of a state could not reach its reader, which had stopped. */
     @Test
-    void aReleaseThatItsEngineCannotHearIsSaidToAnother() throws Exception {
+    void aReleaseThatItsEngineCannotReceiveIsSentToAnother() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn reader = new StandIn(x -> {
                     if (x.method.equals("DELETE")) x.reset();
@@ -311,12 +313,14 @@
             take(waiting);
             reader.close();
             client.close();
-            await("the other told", () -> writer.count("DELETE /internal/reservations/a1") > 0);
+            await(
+                    "the release is sent to the other engine",
+                    () -> writer.count("DELETE /internal/reservations/a1") > 0);
         }
     }
 
     @Test
-    void aDrainingEngineGetsNothingNew() throws Exception {
+    void aDrainingEngineGetsNoNewRequests() throws Exception {
         try (StandIn reader = World.reader();
                 StandIn writer = World.writer();
                 StandIn other = World.writer();
@@ -337,7 +341,7 @@
     }
 
     @Test
-    void whatAClientSendsEarlyIsItsNextRequest() throws Exception {
+    void aRequestSentDuringAStreamIsServedNext() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         try (StandIn reader = World.reader();
                 StandIn writer = new StandIn(streams::add);
@@ -357,7 +361,7 @@
     }
 
     @Test
-    void twoOpenRequestsOfOneIdCannotBe() throws Exception {
+    void aRequestWithTheIdOfAnOpenRequestIsRejected() throws Exception {
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn reader = new StandIn(x -> {
                     waiting.add(x);
--- a/src/test/java/maplerail/front/FiguresTest.java
+++ b/src/test/java/maplerail/front/RequestMetricsTest.java
@@ -17,30 +17,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The figures beside what clients and engines counted themselves, whatever engines do with what they are sent. */
-class FiguresTest {
+/** Compares the metrics with the counts of clients and engines, while engines fail at random. */
+class RequestMetricsTest {
     private static final int CLIENTS = 4;
-    private static final int REQUESTS = 40; // of each client
+    private static final int REQUESTS = 40; // per client
 
     private final AtomicInteger received = new AtomicInteger();
 
-    /** By the request's own number, so that each play of a seed meets the same engines. */
-    private StandIn engine(boolean reads, long seed) throws IOException {
+    /**
+     * Draws an outcome from the seed and the request's id, so that every run with a seed has the same engine outcomes.
+     */
+    private StandIn engine(boolean isReader, long seed) throws IOException {
         return new StandIn(x -> {
             if (x.method.equals("DELETE")) {
                 x.reply(204, "");
                 return;
             }
             received.incrementAndGet();
-            int luck = new SplittableRandom(seed ^ x.headers.get("req-id").hashCode() ^ (reads ? 1 : 2)).nextInt(12);
-            if (luck == 0) x.reply(500, "");
-            else if (luck == 1) x.reset();
-            else if (luck == 2) x.reply(400, "");
-            else if (reads) x.reply(202, "{\"cached_tokens\":0}");
+            int draw = new SplittableRandom(seed ^ x.headers.get("req-id").hashCode() ^ (isReader ? 1 : 2)).nextInt(12);
+            if (draw == 0) x.reply(500, "");
+            else if (draw == 1) x.reset();
+            else if (draw == 2) x.reply(400, "");
+            else if (isReader) x.reply(202, "{\"cached_tokens\":0}");
             else {
                 x.stream();
                 x.chunk("data: 1\n\n");
-                if (luck == 3) {
+                if (draw == 3) {
                     x.reset();
                     return;
                 }
@@ -53,7 +55,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void eachFinalAnswerAndEachAttemptIsCountedOnce(long seed) throws Exception {
-        Map<String, AtomicInteger> seen = new ConcurrentHashMap<>();
+        Map<String, AtomicInteger> outcomes = new ConcurrentHashMap<>();
         try (StandIn reader = engine(true, seed);
                 StandIn writer = engine(false, seed);
                 World world = new World()
@@ -67,39 +69,39 @@
                 clients.add(new Thread(() -> {
                     for (int i = 0; i < REQUESTS; i++) {
                         String kind = i % 3 == 0 ? "repair-order" : "lookup";
-                        String answer = ask(world, name + i, kind);
+                        String answer = send(world, name + i, kind);
                         String outcome = answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n0\r\n\r\n")
                                 ? "answered"
                                 : answer.startsWith("HTTP/1.1 503") ? "deferred" : "errored";
-                        seen.computeIfAbsent(outcome + "." + kind, k -> new AtomicInteger())
+                        outcomes.computeIfAbsent(outcome + "." + kind, k -> new AtomicInteger())
                                 .incrementAndGet();
                     }
                 }));
             }
             clients.forEach(Thread::start);
             for (Thread client : clients) client.join();
-            assertThat(seen.values().stream().mapToInt(AtomicInteger::get).sum())
+            assertThat(outcomes.values().stream().mapToInt(AtomicInteger::get).sum())
                     .isEqualTo(CLIENTS * REQUESTS);
-            for (String figure : List.of(
+            for (String metric : List.of(
                     "answered.lookup",
                     "answered.repair-order",
                     "deferred.lookup",
                     "deferred.repair-order",
                     "errored.lookup",
                     "errored.repair-order")) {
-                assertThat(world.figure(figure))
-                        .as(figure)
-                        .isEqualTo(
-                                seen.getOrDefault(figure, new AtomicInteger()).get());
+                assertThat(world.figure(metric))
+                        .as(metric)
+                        .isEqualTo(outcomes.getOrDefault(metric, new AtomicInteger())
+                                .get());
             }
-            // Copies that were called off may still be on their way to the stand-in.
-            await("attempts", () -> figure(world, "sends") == received.get());
-            await("none is open", () -> figure(world, "current") == 0);
+            // Cancelled copies may still be on their way to the stand-in.
+            await("attempts are counted", () -> metric(world, "sends") == received.get());
+            await("no request is open", () -> metric(world, "current") == 0);
             assertThat(world.figure("cluster_size")).isEqualTo(2);
         }
     }
 
-    private static long figure(World world, String name) {
+    private static long metric(World world, String name) {
         try {
             return world.figure(name);
         } catch (IOException e) {
@@ -107,7 +109,7 @@
         }
     }
 
-    private static String ask(World world, String id, String kind) {
+    private static String send(World world, String id, String kind) {
         try (Socket socket = world.connect()) {
             socket.getOutputStream()
                     .write(World.request(id, kind, "5.0")
--- a/src/test/java/maplerail/front/ToolCallTest.java
+++ b/src/test/java/maplerail/front/ToolCallTest.java
@@ -19,16 +19,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tool calls beside a streaming answer, with stand-in tool servers that count effects and final answers. */
+/**
+ * Tool calls alongside a streamed answer, with stand-in tool servers that count executions, and clients that count
+ * responses.
+ */
 class ToolCallTest {
     private static final String RESULT = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"lamp\":1.50}}";
 
-    /** A client: what it hears, and how many final answers came for an id. */
+    /** A client with the messages it receives and the number of its final responses. */
     private static final class Client implements WebSocket.Listener {
         final BlockingQueue<Tree> answers = World.queue();
         final BlockingQueue<String> events = World.queue();
         final StringBuilder part = new StringBuilder();
-        final AtomicInteger answered = new AtomicInteger();
+        final AtomicInteger answerCount = new AtomicInteger();
         String lastText;
         WebSocket socket;
 
@@ -54,7 +57,7 @@
                     events.add(message.at("params").at("data").text());
                 } else {
                     lastText = part.toString();
-                    answered.incrementAndGet();
+                    answerCount.incrementAndGet();
                     answers.add(message);
                 }
                 part.setLength(0);
@@ -63,17 +66,17 @@
             return null;
         }
 
-        void say(String text) {
+        void send(String text) {
             socket.sendText(text, true).join();
         }
 
         void call(int id, String tool) {
-            say("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"" + tool
+            send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"" + tool
                     + "\",\"arguments\":{\"column\":\"C-17\",\"height\":8.10}}}");
         }
 
         void answer(int id) {
-            say("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"answers/stream\",\"params\":{\"kind\":\"lookup\","
+            send("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"answers/stream\",\"params\":{\"kind\":\"lookup\","
                     + "\"deadline_ms\":5000,\"max_out\":100,\"body\":{\"stream\":true}}}");
         }
 
@@ -82,14 +85,14 @@
         }
     }
 
-    private static String tools(String place, String deadline, int inFlight, int most) {
+    private static String tools(String services, String deadline, int inFlight, int maxReplyBytes) {
         return """
                 {"listen":"127.0.0.1:0",%s
                  "contracts":{"find":{"repeat":"pure","deadline_ms":%s,"most_argument_bytes":200,"most_reply_bytes":%d},
                   "raise":{"repeat":"side_effect","deadline_ms":%s,"most_argument_bytes":200,"most_reply_bytes":1000}},
                  "tools":{"columns.find":{"service":"records","contract":"find"},
                   "orders.raise":{"service":"records","contract":"raise"}},
-                 "teams":{"cyngor-glannau":{"calls_per_s":100,"calls_in_flight":%d}}}""".formatted(place, deadline, most, deadline, inFlight);
+                 "teams":{"cyngor-glannau":{"calls_per_s":100,"calls_in_flight":%d}}}""".formatted(services, deadline, maxReplyBytes, deadline, inFlight);
     }
 
     private static String servers(StandIn... servers) {
@@ -110,7 +113,7 @@
     }
 
     @Test
-    void aCallIsAnsweredWhileAnAnswerStreamsAndItsDecodeBoxDrains() throws Exception {
+    void aCallIsAnsweredWhileAnAnswerStreamsAndItsWriterDrains() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader();
@@ -140,14 +143,14 @@
             stream.chunk("data: [DONE]\n\n");
             stream.last();
             assertThat(client.answer().at("id").number()).isEqualTo(1);
-            assertThat(client.answered).hasValue(2);
+            assertThat(client.answerCount).hasValue(2);
             assertThat(tool.count("POST /tool")).isEqualTo(1);
             await("nothing remembered", () -> world.gateway.openRequests() == 0);
         }
     }
 
     @Test
-    void aDecodeBoxThatDiesMidCallFailsTheAnswerAndNotTheCall() throws Exception {
+    void aWriterFailureDuringACallFailsTheAnswerAndNotTheCall() throws Exception {
         BlockingQueue<StandIn.Exchange> streams = World.queue();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn reader = World.reader();
@@ -171,12 +174,12 @@
                     .isEqualTo("failed");
             call.reply(200, RESULT);
             assertThat(client.answer().at("id").number()).isEqualTo(2);
-            assertThat(client.answered).hasValue(2);
+            assertThat(client.answerCount).hasValue(2);
         }
     }
 
     @Test
-    void aClientThatLeavesWhileTheReplyIsInFlightLeavesNothingBehind() throws Exception {
+    void aClientDisconnectDuringAReplyLeavesNoOpenRequest() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         BlockingQueue<String> ended = World.queue();
@@ -195,12 +198,12 @@
             take(ended);
             await("nothing remembered", () -> world.gateway.openRequests() == 0);
             assertThat(effects).hasValue(1);
-            assertThat(client.answered).hasValue(0);
+            assertThat(client.answerCount).hasValue(0);
         }
     }
 
     @Test
-    void aRepairOrderThatMayHaveRunIsNeverSentAgain() throws Exception {
+    void aSideEffectCallThatMayHaveRunIsNotRetried() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         StandIn.Handler reset = x -> {
             effects.incrementAndGet();
@@ -216,37 +219,37 @@
             assertThat(error.at("data").at("mayHaveRun").flag()).isTrue();
             await("nothing remembered", () -> world.gateway.openRequests() == 0);
             assertThat(effects).hasValue(1);
-            assertThat(client.answered).hasValue(1);
+            assertThat(client.answerCount).hasValue(1);
         }
     }
 
     @Test
-    void aLookupIsTriedElsewhere() throws Exception {
-        AtomicInteger left = new AtomicInteger(1);
-        StandIn.Handler once = x -> {
-            if (left.getAndDecrement() > 0) x.reset();
+    void aPureCallIsRetriedOnAnotherServer() throws Exception {
+        AtomicInteger failuresLeft = new AtomicInteger(1);
+        StandIn.Handler failsOnce = x -> {
+            if (failuresLeft.getAndDecrement() > 0) x.reset();
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once);
-                StandIn two = new StandIn(once);
+        try (StandIn one = new StandIn(failsOnce);
+                StandIn two = new StandIn(failsOnce);
                 World world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "columns.find");
             assertThat(client.answer().at("result").present()).isTrue();
             assertThat(one.count("POST") + two.count("POST")).isEqualTo(2);
-            assertThat(client.answered).hasValue(1);
+            assertThat(client.answerCount).hasValue(1);
         }
     }
 
     @Test
-    void aServerThatDeclinedARepairOrderIsNoReasonNotToSendItToAnother() throws Exception {
-        AtomicInteger left = new AtomicInteger(1);
-        StandIn.Handler once = x -> {
-            if (left.getAndDecrement() > 0) x.reply(503, "", "Srv-Declined: 1");
+    void aDeclinedSideEffectCallIsRetriedOnAnotherServer() throws Exception {
+        AtomicInteger refusalsLeft = new AtomicInteger(1);
+        StandIn.Handler declinesOnce = x -> {
+            if (refusalsLeft.getAndDecrement() > 0) x.reply(503, "", "Srv-Declined: 1");
             else x.reply(200, RESULT);
         };
-        try (StandIn one = new StandIn(once);
-                StandIn two = new StandIn(once);
+        try (StandIn one = new StandIn(declinesOnce);
+                StandIn two = new StandIn(declinesOnce);
                 World world = world(one, two)) {
             Client client = Client.connect(world, "cyngor-glannau");
             client.call(1, "orders.raise");
@@ -268,7 +271,7 @@
     }
 
     @Test
-    void aTeamsBudgetIsKeptAndGivenBack() throws Exception {
+    void aTeamsBudgetIsEnforcedAndReturned() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn tool = new StandIn(calls::add);
                 World world = new World().start(tools(servers(tool), "5000", 1, 1000))) {
@@ -302,7 +305,7 @@
     }
 
     @Test
-    void aCancelledCallGetsItsOneAnswerAndItsIdIsFree() throws Exception {
+    void aCancelledCallGetsOneAnswerAndADuplicateIdIsRejected() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn tool = new StandIn(calls::add);
                 World world = world(tool)) {
@@ -314,7 +317,7 @@
             assertThat(duplicate.at("id").present()).isFalse();
             assertThat(duplicate.at("error").at("data").at("duplicateId").number())
                     .isEqualTo(1);
-            client.say("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
+            client.send("{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":1}}");
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32003);
             call.awaitEnd();
             await("nothing remembered", () -> world.gateway.openRequests() == 0);
@@ -340,26 +343,26 @@
             {"jsonrpc":"2.0","id":1,"method":"tools/call","params":{"name":"columns.find","arguments":5}} | -32602
             {"jsonrpc":"2.0","id":1,"method":"answers/stream","params":{"kind":"poem"}}         | -32602
             """)
-    void badMessagesAreAnsweredAndGoNoFurther(String message, int code) throws Exception {
+    void invalidMessagesAreAnsweredWithoutACall(String message, int code) throws Exception {
         AtomicInteger effects = new AtomicInteger();
         try (StandIn tool = tool(effects);
                 World world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.say(message);
+            client.send(message);
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(code);
-            client.say("{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}");
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":\"x\",\"method\":\"ping\"}");
             assertThat(client.answer().at("result").isObject()).isTrue();
             assertThat(effects).hasValue(0);
         }
     }
 
     @Test
-    void anArgumentLargerThanItsContractGoesNoFurther() throws Exception {
+    void anArgumentLargerThanItsContractIsRejectedWithoutACall() throws Exception {
         AtomicInteger effects = new AtomicInteger();
         try (StandIn tool = tool(effects);
                 World world = world(tool)) {
             Client client = Client.connect(world, "cyngor-glannau");
-            client.say("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"columns.find\","
                     + "\"arguments\":{\"a\":\"" + "x".repeat(200) + "\"}}}");
             assertThat(client.answer().at("error").at("code").number()).isEqualTo(-32602);
             assertThat(effects).hasValue(0);
@@ -367,7 +370,7 @@
     }
 
     @Test
-    void aTeamThatTheFileDoesNotNameIsNotLetIn() throws Exception {
+    void aTeamThatIsNotConfiguredIsRejected() throws Exception {
         try (StandIn tool = tool(new AtomicInteger());
                 World world = world(tool)) {
             assertThatThrownBy(() -> Client.connect(world, "nobody")).isInstanceOf(CompletionException.class);
@@ -375,7 +378,7 @@
     }
 
     @Test
-    void aServiceThatConsulMarksCriticalGetsNothingNew() throws Exception {
+    void aServerThatConsulMarksCriticalGetsNoNewCalls() throws Exception {
         AtomicInteger one = new AtomicInteger();
         AtomicInteger two = new AtomicInteger();
         try (StandIn first = tool(one);
@@ -389,25 +392,25 @@
                                 4,
                                 1000))) {
             Client client = Client.connect(world, "cyngor-glannau");
-            await("found", () -> served(client));
+            await("servers are discovered", () -> callSucceeds(client));
             consul.status(0, "critical");
-            await("told", () -> {
+            await("the first server is removed", () -> {
                 int before = one.get();
-                return served(client) && one.get() == before && consul.asked() > 2;
+                return callSucceeds(client) && one.get() == before && consul.healthQueries() > 2;
             });
             consul.status(1, "critical");
-            await("no server", () -> !served(client));
+            await("no server is left", () -> !callSucceeds(client));
             int before = one.get() + two.get();
-            assertThat(served(client)).isFalse();
+            assertThat(callSucceeds(client)).isFalse();
             assertThat(one.get() + two.get()).isEqualTo(before);
             consul.restart();
             consul.status(1, "passing");
-            await("found again though the index went backwards", () -> served(client));
+            await("a server is discovered again after the index went backwards", () -> callSucceeds(client));
         }
     }
 
-    private static boolean served(Client client) {
-        client.call(client.answered.get() + 100, "columns.find");
+    private static boolean callSucceeds(Client client) {
+        client.call(client.answerCount.get() + 100, "columns.find");
         try {
             return client.answer().at("result").present();
         } catch (InterruptedException e) {
--- a/src/test/java/maplerail/front/ToolFaultsTest.java
+++ b/src/test/java/maplerail/front/ToolFaultsTest.java
@@ -21,10 +21,10 @@
 import maplerail.support.World;
 import org.junit.jupiter.api.Test;
 
-/** Tool servers that tell progress, and such as fail in every way: what clients hear, and what was done how often. */
+/** Tool servers that report progress or fail: the messages clients receive, and how often a call is executed. */
 class ToolFaultsTest {
     private static final class Client implements WebSocket.Listener {
-        final BlockingQueue<String> heard = World.queue();
+        final BlockingQueue<String> received = World.queue();
         final StringBuilder part = new StringBuilder();
         WebSocket socket;
 
@@ -43,23 +43,23 @@
         public CompletionStage<?> onText(WebSocket from, CharSequence text, boolean last) {
             part.append(text);
             if (last) {
-                heard.add(part.toString());
+                received.add(part.toString());
                 part.setLength(0);
             }
             from.request(1);
             return null;
         }
 
-        void call(int id, String tool, String more) {
+        void call(int id, String tool, String extraParams) {
             socket.sendText(
                             "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\""
-                                    + tool + "\",\"arguments\":{\"call\":" + id + "}" + more + "}}",
+                                    + tool + "\",\"arguments\":{\"call\":" + id + "}" + extraParams + "}}",
                             true)
                     .join();
         }
     }
 
-    private static World world(double deadline, double most, StandIn... servers) throws Exception {
+    private static World world(double deadline, double maxDeadline, StandIn... servers) throws Exception {
         String list = String.join(
                 "\",\"", java.util.Arrays.stream(servers).map(StandIn::address).toList());
         return new World().start("""
@@ -69,7 +69,7 @@
                   "raise":{"repeat":"side_effect","deadline_ms":%s,"most_argument_bytes":200,"most_reply_bytes":1000}},
                  "tools":{"columns.find":{"service":"records","contract":"find"},
                   "orders.raise":{"service":"records","contract":"raise"}},
-                 "teams":{"cyngor-glannau":{"calls_per_s":10000,"calls_in_flight":64}}}""".formatted(list, deadline, most, deadline));
+                 "teams":{"cyngor-glannau":{"calls_per_s":10000,"calls_in_flight":64}}}""".formatted(list, deadline, maxDeadline, deadline));
     }
 
     private static String token(StandIn.Exchange call) {
@@ -80,13 +80,13 @@
                 .text("");
     }
 
-    private static String step(String token, String figure) {
+    private static String progress(String token, String value) {
         return "data: {\"jsonrpc\":\"2.0\",\"method\":\"notifications/progress\",\"params\":{\"progressToken\":\""
-                + token + "\",\"progress\":" + figure + ",\"message\":\"m\"}}\n\n";
+                + token + "\",\"progress\":" + value + ",\"message\":\"m\"}}\n\n";
     }
 
     @Test
-    void progressIsToldUnderTheClientsOwnTokenAndNotAfterTheEnd() throws Exception {
+    void progressIsForwardedUnderTheClientsTokenAndNotAfterTheResponse() throws Exception {
         BlockingQueue<StandIn.Exchange> calls = World.queue();
         try (StandIn tool = new StandIn(x -> {
                     x.stream();
@@ -96,61 +96,65 @@
             Client client = new Client(world);
             client.call(1, "columns.find", ",\"_meta\":{\"progressToken\":\"mine\"}");
             client.call(2, "columns.find", "");
-            Map<String, StandIn.Exchange> out = new HashMap<>();
+            Map<String, StandIn.Exchange> openCalls = new HashMap<>();
             for (int i = 0; i < 2; i++) {
                 StandIn.Exchange call = take(calls);
-                out.put(call.body.contains("\"call\":1}") ? "one" : "two", call);
+                openCalls.put(call.body.contains("\"call\":1}") ? "one" : "two", call);
             }
-            StandIn.Exchange one = out.get("one");
+            StandIn.Exchange one = openCalls.get("one");
             assertThat(token(one)).isNotEmpty().isNotEqualTo("mine");
-            assertThat(token(out.get("two"))).isEmpty();
-            one.chunk(step(token(one), "1") + step("strange", "2") + step(token(one), "1"));
-            one.chunk(step(token(one), "2.50"));
-            out.get("two").chunk(step("", "1") + "data: {\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"two\":2}}\n\n");
-            List<String> heard =
-                    new java.util.ArrayList<>(List.of(take(client.heard), take(client.heard), take(client.heard)));
-            heard.removeIf(text -> text.contains("\"two\":2"));
-            assertThat(heard)
+            assertThat(token(openCalls.get("two"))).isEmpty();
+            one.chunk(progress(token(one), "1") + progress("strange", "2") + progress(token(one), "1"));
+            one.chunk(progress(token(one), "2.50"));
+            openCalls
+                    .get("two")
+                    .chunk(progress("", "1") + "data: {\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"two\":2}}\n\n");
+            List<String> received = new java.util.ArrayList<>(
+                    List.of(take(client.received), take(client.received), take(client.received)));
+            received.removeIf(text -> text.contains("\"two\":2"));
+            assertThat(received)
                     .allMatch(text -> text.contains("\"progressToken\":\"mine\""))
                     .hasSize(2);
-            assertThat(heard.get(1)).contains("\"progress\":2.50,\"message\":\"m\"");
-            // The answer, and progress behind it on a stream that its server leaves open.
-            one.chunk("data: {\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"one\":1}}\n\n" + step(token(one), "9"));
-            assertThat(take(client.heard)).contains("\"id\":1,\"result\":{\"one\":1}");
-            await("closed", () -> tool.ended() == 2 && world.gateway.openRequests() == 0);
+            assertThat(received.get(1)).contains("\"progress\":2.50,\"message\":\"m\"");
+            // The response, then progress on a stream that the server leaves open.
+            one.chunk("data: {\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"one\":1}}\n\n" + progress(token(one), "9"));
+            assertThat(take(client.received)).contains("\"id\":1,\"result\":{\"one\":1}");
+            await("the streams are closed", () -> tool.ended() == 2 && world.gateway.openRequests() == 0);
             client.call(3, "columns.find", "");
             take(calls).chunk("data: {\"jsonrpc\":\"2.0\",\"id\":1,\"error\":{\"code\":5,\"message\":\"no\"}}\n\n");
-            assertThat(take(client.heard)).as("nothing came in between").contains("\"id\":3,\"error\":{\"code\":5");
+            assertThat(take(client.received)).as("no message in between").contains("\"id\":3,\"error\":{\"code\":5");
         }
     }
 
     @Test
-    void progressLengthensACallOnlyAsFarAsItsContractAllows() throws Exception {
+    void progressExtendsACallOnlyUpToItsContractsLimit() throws Exception {
         try (StandIn tool = new StandIn(x -> {
                     x.stream();
                     for (int i = 1; ; i++) {
-                        x.chunk(step(token(x), "" + i));
+                        x.chunk(progress(token(x), "" + i));
                         Thread.sleep(50);
                     }
                 });
                 World world = world(1_500, 3_000, tool)) {
             Client client = new Client(world);
             client.call(1, "columns.find", ",\"_meta\":{\"progressToken\":7}");
-            String last = take(client.heard);
+            String last = take(client.received);
             assertThat(last).contains("notifications/progress", "\"progressToken\":7");
-            long from = System.nanoTime();
-            while (last.contains("notifications/progress")) last = take(client.heard);
-            // A machine that is behind only makes it more: the first step came within the deadline.
-            assertThat((System.nanoTime() - from) / 1e6).as("past the deadline").isGreaterThan(1_400);
+            long startNanos = System.nanoTime();
+            while (last.contains("notifications/progress")) last = take(client.received);
+            // A slow machine only lengthens the time: the first notification came within the deadline.
+            assertThat((System.nanoTime() - startNanos) / 1e6)
+                    .as("time beyond the deadline")
+                    .isGreaterThan(1_400);
             assertThat(last).contains("\"id\":1,\"error\":{\"code\":-32002");
-            await("called off", () -> tool.ended() == 1);
+            await("the call is cancelled", () -> tool.ended() == 1);
             assertThat(tool.count("POST")).isEqualTo(1);
         }
     }
 
-    /** Servers that fail by chance in every way: what raises orders is done at most once, and each call is answered once. */
+    /** Servers fail at random: a call with side effects is executed at most once, and each call gets one response. */
     @Test
-    void whateverServersDoNothingIsDoneTwiceAndEachCallIsAnsweredOnce() throws Exception {
+    void underRandomFaultsNoSideEffectRunsTwiceAndEachCallIsAnsweredOnce() throws Exception {
         for (int seed = 1; seed <= 12; seed++) {
             SplittableRandom draws = new SplittableRandom(seed);
             Map<String, AtomicInteger> effects = new ConcurrentHashMap<>();
@@ -172,7 +176,7 @@
                     case 2 -> x.reset();
                     case 3 -> {
                         x.stream();
-                        x.chunk(step(token(x), "1"));
+                        x.chunk(progress(token(x), "1"));
                         x.reset();
                     }
                     case 4 -> {
@@ -198,27 +202,27 @@
                             ",\"_meta\":{\"progressToken\":" + id + "}");
                 }
                 Map<String, Integer> answers = new HashMap<>();
-                for (int answered = 0; answered < calls; ) {
-                    Map<String, String> message = Json.fields(take(client.heard));
+                for (int responses = 0; responses < calls; ) {
+                    Map<String, String> message = Json.fields(take(client.received));
                     if (message.containsKey("method")) {
                         String token = Json.fields(message.get("params")).get("progressToken");
                         assertThat(answers)
-                                .as("seed %d: progress after the end", seed)
+                                .as("seed %d: progress after the response", seed)
                                 .doesNotContainKey(token);
                         continue;
                     }
                     answers.merge(message.get("id"), 1, Integer::sum);
-                    answered++;
+                    responses++;
                 }
-                await("nothing is left", () -> world.gateway.openRequests() == 0);
+                await("no request is open", () -> world.gateway.openRequests() == 0);
                 client.call(1_000, "no.such", "");
-                assertThat(take(client.heard))
-                        .as("seed %d: the last to be heard", seed)
+                assertThat(take(client.received))
+                        .as("seed %d: the last message", seed)
                         .contains("\"id\":1000");
                 assertThat(answers.values()).as("seed %d", seed).hasSize(calls).allMatch(count -> count == 1);
                 for (int id = 2; id <= calls; id += 2) {
-                    AtomicInteger done = effects.getOrDefault("" + id, new AtomicInteger());
-                    assertThat(done.get()).as("seed %d: order %d", seed, id).isLessThanOrEqualTo(1);
+                    AtomicInteger runs = effects.getOrDefault("" + id, new AtomicInteger());
+                    assertThat(runs.get()).as("seed %d: order %d", seed, id).isLessThanOrEqualTo(1);
                 }
             }
         }
--- a/src/test/java/maplerail/front/admin/AdminTest.java
+++ b/src/test/java/maplerail/front/admin/AdminTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdminTest {
-    private static Socket dial(World world) throws IOException {
+    private static Socket connect(World world) throws IOException {
         InetSocketAddress at = world.gateway.adminAddress();
         Socket socket = new Socket(at.getAddress(), at.getPort());
         socket.setSoTimeout(20_000);
@@ -29,7 +29,7 @@
         to.getOutputStream().write(text.replace("/n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** What can't be understood is answered no or ended, and the next caller is answered all the same. */
+    /** An invalid call gets an error response or its connection is closed, and the next caller is served. */
     @ParameterizedTest
     @CsvSource(delimiter = ';', quoteCharacter = '`', textBlock = """
             GET /_ready HTTP/1.1/nHost: x/n/n                                        ; HTTP/1.1 200
@@ -45,10 +45,10 @@
             \0\1\2 nonsense/n/n                                                      ; -
             GET /_ready HTTP/9.9 and more/n/n                                        ; -
             """)
-    void eachCallIsAnsweredYesOrNoAndItsConnectionEnds(String call, String status) throws Exception {
+    void eachCallIsAnsweredAndItsConnectionClosed(String call, String status) throws Exception {
         try (StandIn engine = World.reader();
                 World world = new World().admin().engine("r", "prefill", engine).start();
-                Socket caller = dial(world)) {
+                Socket caller = connect(world)) {
             write(caller, call);
             String answer = World.readAll(caller.getInputStream());
             if (status.equals("-")) assertThat(answer).doesNotContain(" 200 ");
@@ -57,76 +57,76 @@
         }
     }
 
-    /** Sent in pieces, a call counts once its last byte is there, its body's included. */
+    /** A call that arrives in pieces takes effect with its last byte, including the body's. */
     @Test
-    void halfACallDoesNothing() throws Exception {
+    void anIncompleteCallHasNoEffect() throws Exception {
         try (StandIn engine = World.reader();
                 World world = new World().admin().engine("r", "prefill", engine).start();
-                Socket whole = dial(world);
-                Socket half = dial(world)) {
-            write(half, "PUT /_lameduck/on HTTP/1.1/nHost: x/nContent-Length: 5/n/nabc");
+                Socket complete = connect(world);
+                Socket incomplete = connect(world)) {
+            write(incomplete, "PUT /_lameduck/on HTTP/1.1/nHost: x/nContent-Length: 5/n/nabc");
             for (char c : "PUT /_lameduck/off HTTP/1.1/nHost: x/nContent-Length: 0/n/n"
                     .replace("/n", "\r\n")
                     .toCharArray()) {
-                write(whole, "" + c);
+                write(complete, "" + c);
             }
-            assertThat(World.readAll(whole.getInputStream())).startsWith("HTTP/1.1 200");
+            assertThat(World.readAll(complete.getInputStream())).startsWith("HTTP/1.1 200");
             assertThat(world.exchange("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"))
                     .startsWith("HTTP/1.1 200");
-            assertThat(World.readAll(half.getInputStream())).doesNotContain(" 200 "); // ended, not left for good
+            assertThat(World.readAll(incomplete.getInputStream())).doesNotContain(" 200 "); // closed by the time limit
         }
     }
 
-    /** With a place for each of them and no limit on their time, the ones that say half a call kept all others out. */
+    /** Without limits on connections and their time, callers with incomplete calls locked out all others. */
     @Test
-    void callersWhoEndNoCallKeepNobodyOut() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    void incompleteCallsDoNotBlockOtherCallers() throws Exception {
+        List<Socket> callers = new ArrayList<>();
         try (StandIn engine = World.reader();
                 World world = new World().admin().engine("r", "prefill", engine).start()) {
-            for (int i = 0; i < 4 * AdminListener.MOST; i++) {
-                crowd.add(dial(world));
-                if (i % 2 == 0) write(crowd.get(i), "GET /_ready HTTP/1.1/nHost:");
-                if (i % AdminListener.MOST == 0)
+            for (int i = 0; i < 4 * AdminListener.MAX_CONNECTIONS; i++) {
+                callers.add(connect(world));
+                if (i % 2 == 0) write(callers.get(i), "GET /_ready HTTP/1.1/nHost:");
+                if (i % AdminListener.MAX_CONNECTIONS == 0)
                     assertThat(world.call("GET /_ready")).startsWith("HTTP/1.1 200");
             }
             assertThat(world.call("GET /_vars")).startsWith("HTTP/1.1 200");
-            // Each of them is ended.
-            for (Socket one : crowd)
-                assertThat(World.readAll(one.getInputStream())).doesNotContain(" 200 ");
+            // Every connection is closed.
+            for (Socket caller : callers)
+                assertThat(World.readAll(caller.getInputStream())).doesNotContain(" 200 ");
         } finally {
-            for (Socket one : crowd) one.close();
+            for (Socket caller : callers) caller.close();
         }
     }
 
-    /** Answered by the main loop, a call waited for whatever that had before it. */
+    /** When the main loop served these calls, they waited for its earlier tasks. */
     @Test
-    void theMainLoopKeepsNobodyWaiting() throws Exception {
-        CountDownLatch free = new CountDownLatch(1);
-        CountDownLatch held = new CountDownLatch(1);
+    void callsAreAnsweredWhileTheMainLoopIsBlocked() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         try (StandIn engine = World.reader();
                 World world = new World().admin().engine("r", "prefill", engine).start()) {
             world.gateway.onLoop(() -> {
-                held.countDown();
+                blocked.countDown();
                 try {
-                    free.await();
+                    release.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            held.await();
+            blocked.await();
             for (String call : List.of("GET /_ready", "GET /_vars", "PUT /_lameduck/on", "PUT /_lameduck/off")) {
                 assertThat(world.call(call)).startsWith("HTTP/1.1 200");
             }
-            free.countDown();
+            release.countDown();
         }
     }
 
     @Test
-    void readyOnceTheEnginesAreKnownAndNoMoreOnceToldToStop() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void readyFromTheFirstEndpointListUntilADrainBegins() throws Exception {
+        CountDownLatch listAvailable = new CountDownLatch(1);
         try (StandIn engine = World.reader();
                 World world = new World().admin().discoveredBy(new StandIn(x -> {
-                    told.await();
+                    listAvailable.await();
                     x.reply(200, "{\"seq\":1,\"whole\":true,\"hosts\":[]}");
                 }))) {
             world.startUnready();
@@ -134,18 +134,18 @@
             assertThat(world.call("PUT /_lameduck/on")).startsWith("HTTP/1.1 200");
             assertThat(world.call("PUT /_lameduck/off")).startsWith("HTTP/1.1 200");
             assertThat(world.call("GET /_ready")).startsWith("HTTP/1.1 503");
-            told.countDown();
+            listAvailable.countDown();
             await("ready", () -> world.gateway.canServe());
             assertThat(world.call("GET /_ready")).startsWith("HTTP/1.1 200");
             world.gateway.drain();
-            await("told to stop", () -> !world.gateway.canServe());
+            await("the drain has begun", () -> !world.gateway.canServe());
             assertThat(world.call("GET /_ready")).startsWith("HTTP/1.1 503");
             assertThat(world.call("PUT /_lameduck/off")).startsWith("HTTP/1.1 503");
         }
     }
 
     @Test
-    void figuresAreWordedAsStatsdHasThem() {
+    void metricsAreFormattedAsStatsdLines() {
         assertThat(AdminFront.statsd(List.of(
                         new Figure("answered.repair-order", 812, true),
                         new Figure("current", 14, false),
