--- a/src/main/java/maplerail/migration/HandoverSnapshot.java
+++ b/src/main/java/maplerail/migration/HandoverSnapshot.java
@@ -60,7 +60,7 @@
     /** Parses a text; empty if it has another format version, is malformed or is too old. */
     public static Optional<HandoverSnapshot> parse(String text, double nowMs) {
         try {
-            Tree root = Tree.object("handover", text);
+            Tree root = Tree.object("notes", text);
             double writtenMs = root.need("written_ms").number();
             boolean fresh = writtenMs <= nowMs + MAX_CLOCK_SKEW_MS && nowMs - writtenMs <= MAX_AGE_MS;
             if (root.need("form").number() != FORMAT_VERSION || !fresh) return Optional.empty();
