--- a/src/main/java/maplerail/discovery/PlatformDiscovery.java
+++ b/src/main/java/maplerail/discovery/PlatformDiscovery.java
@@ -161,8 +161,7 @@
                 return Optional.of(EngineList.read(Tree.object("list", text), names));
             } catch (RuntimeException e) {
                 LOG.warn(
-                        "discovery answered no list: {}",
-                        e instanceof ConfigException ? e.getMessage() : e.toString());
+                        "discovery answered no list: {}", e instanceof ConfigException ? e.getMessage() : e.toString());
                 onRejectedList.run();
                 if (callGeneration == generation) retryMs = schedule.onUnreadable();
                 return Optional.empty();
