--- a/src/main/java/maplerail/discovery/BlockingQuery.java
+++ b/src/main/java/maplerail/discovery/BlockingQuery.java
@@ -9,10 +9,10 @@
 import maplerail.config.ConfigException;
 import maplerail.config.Tree;
 import maplerail.net.Call;
+import maplerail.net.ConnectionPool;
 import maplerail.net.HttpRequests;
-import maplerail.net.Pool;
 import maplerail.net.TextResponseHandler;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -35,8 +35,8 @@
     private static final int OK = 200;
     private static final Pattern INDEX = Pattern.compile("[0-9]{1,18}");
 
-    private final Pool pool;
-    private final XnioLoop loop;
+    private final ConnectionPool pool;
+    private final XnioEventLoop loop;
     private final String path;
     private final Consumer<Tree> onResult;
     private final Backoff backoff;
@@ -46,8 +46,8 @@
     private int generation; // incremented for each call or scheduled call; identifies the latest one
 
     BlockingQuery(
-            Pool pool,
-            XnioLoop loop,
+            ConnectionPool pool,
+            XnioEventLoop loop,
             InetSocketAddress address,
             String path,
             SplittableRandom random,
--- a/src/main/java/maplerail/discovery/ConsulDiscovery.java
+++ b/src/main/java/maplerail/discovery/ConsulDiscovery.java
@@ -14,8 +14,8 @@
 import maplerail.config.EngineIds;
 import maplerail.config.EngineList;
 import maplerail.config.Tree;
-import maplerail.net.Pool;
-import maplerail.net.XnioLoop;
+import maplerail.net.ConnectionPool;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.Endpoint;
 import maplerail.routing.EndpointState;
 
@@ -26,8 +26,8 @@
 public final class ConsulDiscovery {
     private static final Set<String> HEALTHY = Set.of("passing", "warning");
 
-    private final Pool pool;
-    private final XnioLoop loop;
+    private final ConnectionPool pool;
+    private final XnioEventLoop loop;
     private final Set<String> servicesToWatch;
     private final BiConsumer<String, EngineList> onList;
     private final SplittableRandom random;
@@ -43,8 +43,8 @@
      * @param onList receives the complete list of a service whenever it changes
      */
     public ConsulDiscovery(
-            Pool pool,
-            XnioLoop loop,
+            ConnectionPool pool,
+            XnioEventLoop loop,
             InetSocketAddress address,
             Set<String> services,
             SplittableRandom random,
--- a/src/main/java/maplerail/discovery/PlatformDiscovery.java
+++ b/src/main/java/maplerail/discovery/PlatformDiscovery.java
@@ -15,10 +15,10 @@
 import maplerail.discovery.PollSchedule.ListStatus;
 import maplerail.discovery.PollSchedule.Poll;
 import maplerail.net.Call;
+import maplerail.net.ConnectionPool;
 import maplerail.net.HttpRequests;
-import maplerail.net.Pool;
 import maplerail.net.TextResponseHandler;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,8 +34,8 @@
     private static final int OK = 200;
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
-    private final Pool pool;
-    private final XnioLoop loop;
+    private final ConnectionPool pool;
+    private final XnioEventLoop loop;
     private final Names names;
     private final boolean agent;
     private final SplittableRandom random;
@@ -56,8 +56,8 @@
      * @param onRejectedList is run for each response that is not a valid list or is outdated
      */
     public PlatformDiscovery(
-            Pool pool,
-            XnioLoop loop,
+            ConnectionPool pool,
+            XnioEventLoop loop,
             InetSocketAddress address,
             Names names,
             boolean agent,
--- a/src/main/java/maplerail/front/jsonrpc/Session.java
+++ b/src/main/java/maplerail/front/jsonrpc/Session.java
@@ -107,11 +107,11 @@
         }
         if (!dispatcher.isAccepting()) state.drain();
         switch (state.decide(message.method())) {
-            case TAKE -> startRequest(message, sender);
-            case TOO_EARLY ->
+            case ACCEPT -> startRequest(message, sender);
+            case NOT_INITIALIZED ->
                 sender.sendResponse(
                         RpcError.INVALID_REQUEST.response(message.id(), "the session is not initialized", ""));
-            case TWICE ->
+            case ALREADY_INITIALIZED ->
                 sender.sendResponse(
                         RpcError.INVALID_REQUEST.response(message.id(), "the session is initialized already", ""));
             default -> sender.sendResponse(RpcError.refusedResponse(message.id(), "draining", RETRY_AFTER_MS));
--- a/src/main/java/maplerail/net/Call.java
+++ b/src/main/java/maplerail/net/Call.java
@@ -18,7 +18,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Call.class);
     private static final double UNIT_TIMEOUT_MS = 2_000; // for the rest of a head or chunk that has begun
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final ClientRequest request;
     private final byte[] body;
     private ByteBuffer requestBytes; // null until a connection is assigned
@@ -37,7 +37,7 @@
     private double connectionOpenedMs = Double.NEGATIVE_INFINITY;
     private double connectionLastResponseMs = Double.NEGATIVE_INFINITY;
 
-    Call(Pool pool, ClientRequest request, byte[] body, ResponseHandler handler) {
+    Call(ConnectionPool pool, ClientRequest request, byte[] body, ResponseHandler handler) {
         this.pool = pool;
         this.request = request;
         this.body = body;
@@ -46,7 +46,7 @@
     }
 
     /** Creates a call that continues a response which another process began to read, from between two chunks on. */
-    Call(Pool pool, ResponseHandler handler) {
+    Call(ConnectionPool pool, ResponseHandler handler) {
         this.pool = pool;
         this.request = null;
         this.body = null;
--- a/src/main/java/maplerail/net/Pool.java
+++ b/src/main/java/maplerail/net/ConnectionPool.java
@@ -27,8 +27,8 @@
  * A pool of connections to engines and other servers. Idle ones are closed well before the server would close them. The
  * pool never sends a request twice.
  */
-public final class Pool {
-    private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
+public final class ConnectionPool {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionPool.class);
     private static final double MAX_IDLE_FRACTION = 0.5; // of the idle time after which the server closes a connection
     private static final double SETTLE_DELAY_MS = 30; // after a response, in which surplus bytes would arrive
     private static final int MAX_CONNECTING_PER_ADDRESS = 24; // an unresponsive address must not use up the total
@@ -38,7 +38,7 @@
     private static final OptionMap OPTIONS =
             OptionMap.builder().set(Options.TCP_NODELAY, true).getMap();
 
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final Metrics metrics;
     private final ByteBufferPool buffers;
     private double maxIdleMs;
@@ -61,13 +61,18 @@
     }
 
     /** Creates a pool for servers that close their connections after {@code connIdleMs} without a request. */
-    public Pool(XnioLoop loop, ByteBufferPool buffers, double connIdleMs, double connectTimeoutMs, int maxConnections) {
+    public ConnectionPool(
+            XnioEventLoop loop,
+            ByteBufferPool buffers,
+            double connIdleMs,
+            double connectTimeoutMs,
+            int maxConnections) {
         this(loop, buffers, connIdleMs, connectTimeoutMs, maxConnections, new Metrics());
     }
 
     /** Creates a pool that counts its connects. */
-    public Pool(
-            XnioLoop loop,
+    public ConnectionPool(
+            XnioEventLoop loop,
             ByteBufferPool buffers,
             double connIdleMs,
             double connectTimeoutMs,
@@ -81,7 +86,7 @@
     }
 
     /** Lets connections be reused at once, for servers that send nothing unsolicited. */
-    public Pool withoutSettleDelay() {
+    public ConnectionPool withoutSettleDelay() {
         settleDelayMs = 0;
         return this;
     }
@@ -347,7 +352,7 @@
         return openConnections.size() + connectingTotal;
     }
 
-    XnioLoop loop() {
+    XnioEventLoop loop() {
         return loop;
     }
 
--- a/src/main/java/maplerail/net/EngineClient.java
+++ b/src/main/java/maplerail/net/EngineClient.java
@@ -49,9 +49,9 @@
      */
     private static final double READ_RESPONSE_TIMEOUT_MS = 150;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Metrics metrics;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
     private final Map<Long, InetSocketAddress> removedAddresses = new LinkedHashMap<>();
     private final Map<Long, String> hostNames = new HashMap<>(); // of current and removed engines
@@ -63,12 +63,12 @@
     private record ReleaseKey(InetSocketAddress holder, String requestId) {}
 
     /** Creates a client that takes its connections from a pool. */
-    public EngineClient(Pool pool) {
+    public EngineClient(ConnectionPool pool) {
         this(pool, new Metrics());
     }
 
     /** Creates a client that counts its reservations and releases. */
-    public EngineClient(Pool pool, Metrics metrics) {
+    public EngineClient(ConnectionPool pool, Metrics metrics) {
         this.pool = pool;
         this.metrics = metrics;
         this.loop = pool.loop();
--- a/src/main/java/maplerail/net/PooledConnection.java
+++ b/src/main/java/maplerail/net/PooledConnection.java
@@ -6,7 +6,7 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 
-/** An open connection of a {@link Pool}; at most one call uses it at a time. */
+/** An open connection of a {@link ConnectionPool}; at most one call uses it at a time. */
 final class PooledConnection {
     final InetSocketAddress remoteAddress;
     final StreamConnection connection;
--- a/src/main/java/maplerail/net/ReservationCall.java
+++ b/src/main/java/maplerail/net/ReservationCall.java
@@ -20,7 +20,7 @@
     private static final int NO_READ_STATUS = 204;
     private static final int NOT_RESERVED_STATUS = 409;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final InetSocketAddress writer;
     private final String requestId;
     private final Consumer<ReservePlaceResult> onAnswer;
@@ -28,7 +28,8 @@
     private EventLoop.Timer timeoutTimer;
     private boolean completed;
 
-    ReservationCall(Pool pool, InetSocketAddress writer, String requestId, Consumer<ReservePlaceResult> onAnswer) {
+    ReservationCall(
+            ConnectionPool pool, InetSocketAddress writer, String requestId, Consumer<ReservePlaceResult> onAnswer) {
         this.pool = pool;
         this.writer = writer;
         this.requestId = requestId;
--- a/src/main/java/maplerail/net/StateRelease.java
+++ b/src/main/java/maplerail/net/StateRelease.java
@@ -31,7 +31,7 @@
     private static final double FALLBACK_INTERVAL_MS = 60; // after which other engines are tried too, a few at a time
     private static final int MAX_OTHERS_AT_ONCE = 2;
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final EventLoop loop;
     private final Metrics metrics;
     private final UnresponsiveHolders unresponsiveHolders;
@@ -62,7 +62,7 @@
      * @param onEnd is run once, when its holder has answered or its time is over
      */
     StateRelease(
-            Pool pool,
+            ConnectionPool pool,
             Metrics metrics,
             UnresponsiveHolders unresponsiveHolders,
             InetSocketAddress holder,
--- a/src/main/java/maplerail/net/ToolClient.java
+++ b/src/main/java/maplerail/net/ToolClient.java
@@ -32,12 +32,12 @@
     private static final HttpString ID = new HttpString("Req-Id");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline");
 
-    private final Pool pool;
-    private final XnioLoop loop;
+    private final ConnectionPool pool;
+    private final XnioEventLoop loop;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
     /** Creates a client that takes its connections from a pool. */
-    public ToolClient(Pool pool) {
+    public ToolClient(ConnectionPool pool) {
         this.pool = pool;
         this.loop = pool.loop();
     }
--- a/src/main/java/maplerail/net/XnioLoop.java
+++ b/src/main/java/maplerail/net/XnioEventLoop.java
@@ -20,8 +20,8 @@
  * were due when the poll was requested run after it. Between polls timers run for a limited time, so that many of them
  * do not starve the sockets.
  */
-public final class XnioLoop implements EventLoop {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private static final double MAX_TIMER_RUN_MS = 10;
 
     private final XnioIoThread thread;
@@ -39,12 +39,12 @@
      *
      * @throws UncheckedIOException if no pipe can be created
      */
-    public XnioLoop(XnioIoThread thread) {
+    public XnioEventLoop(XnioIoThread thread) {
         this(thread, new Metrics());
     }
 
     /** Creates the event loop of a thread and records its turns and the delays of its timers. */
-    public XnioLoop(XnioIoThread thread, Metrics metrics) {
+    public XnioEventLoop(XnioIoThread thread, Metrics metrics) {
         this.thread = thread;
         this.metrics = metrics;
         try {
--- a/src/main/java/maplerail/rpc/SessionState.java
+++ b/src/main/java/maplerail/rpc/SessionState.java
@@ -21,9 +21,9 @@
 
     /** What to do with a request. */
     public enum Decision {
-        TAKE,
-        TOO_EARLY,
-        TWICE,
+        ACCEPT,
+        NOT_INITIALIZED,
+        ALREADY_INITIALIZED,
         DRAINING,
         CLOSED
     }
@@ -50,15 +50,17 @@
     /** Whether a request is accepted now, and if not, why. */
     public Decision decide(String method) {
         if (phase == Phase.CLOSED) return Decision.CLOSED;
-        if (method.equals("ping")) return Decision.TAKE;
+        if (method.equals("ping")) return Decision.ACCEPT;
         if (method.equals("initialize")) {
-            return phase == Phase.NEW ? Decision.TAKE : phase == Phase.DRAINING ? Decision.DRAINING : Decision.TWICE;
+            return phase == Phase.NEW
+                    ? Decision.ACCEPT
+                    : phase == Phase.DRAINING ? Decision.DRAINING : Decision.ALREADY_INITIALIZED;
         }
         return switch (phase) {
-            case NEW -> handshakeRequired ? Decision.TOO_EARLY : Decision.TAKE;
-            case NEGOTIATED -> Decision.TOO_EARLY;
+            case NEW -> handshakeRequired ? Decision.NOT_INITIALIZED : Decision.ACCEPT;
+            case NEGOTIATED -> Decision.NOT_INITIALIZED;
             case DRAINING -> Decision.DRAINING;
-            default -> Decision.TAKE;
+            default -> Decision.ACCEPT;
         };
     }
 
--- a/src/main/java/maplerail/server/DrainController.java
+++ b/src/main/java/maplerail/server/DrainController.java
@@ -2,7 +2,7 @@
 
 import maplerail.config.NodeConfig;
 import maplerail.core.Broker;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.RoutingSettings.RequestClass;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -27,7 +27,7 @@
     private static final double NOT_HANDED_ON_MS = 450; // the same for streams that another process did not take,
     private static final int NOT_HANDED_ON_STEPS = 3; // in so many steps
 
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final GatewayLifecycle lifecycle;
     private final Broker broker;
     private final Host host;
@@ -70,7 +70,7 @@
         void onDrained();
     }
 
-    DrainController(XnioLoop loop, GatewayLifecycle lifecycle, Broker broker, Host host) {
+    DrainController(XnioEventLoop loop, GatewayLifecycle lifecycle, Broker broker, Host host) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.broker = broker;
--- a/src/main/java/maplerail/server/Gateway.java
+++ b/src/main/java/maplerail/server/Gateway.java
@@ -28,9 +28,9 @@
 import maplerail.front.platform.PlatformFront;
 import maplerail.metrics.Metrics;
 import maplerail.metrics.Metrics.Figure;
+import maplerail.net.ConnectionPool;
 import maplerail.net.EngineClient;
-import maplerail.net.Pool;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.EndpointUpdateKind;
 import maplerail.routing.RoutingEvent.EndpointUpdate;
 import maplerail.routing.RoutingPolicy;
@@ -69,12 +69,12 @@
     private final CompletableFuture<Void> opened = new CompletableFuture<>(); // clients may come, or never will
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final DescriptorBudget descriptors;
     private final Optional<Path> sharedFolder;
     private final AdmissionStage admission;
-    private final Pool enginePool;
-    private final Pool discoveryPool;
+    private final ConnectionPool enginePool;
+    private final ConnectionPool discoveryPool;
     private final EngineClient engines;
     private final Broker broker;
     private final PlatformFront platform;
@@ -100,7 +100,7 @@
         this.config = config;
         this.sharedFolder = Optional.ofNullable(sharedFolder);
         worker = createWorker();
-        loop = new XnioLoop(worker.getIoThread(), metrics);
+        loop = new XnioEventLoop(worker.getIoThread(), metrics);
         NodeConfig.Wire wire = config.wire();
         descriptors = new DescriptorBudget(wire.sockets(), toolsConfig != null, config.admin() != null);
         enginePool = createPool(wire, descriptors.engines(), metrics);
@@ -152,8 +152,8 @@
                         .getMap());
     }
 
-    private Pool createPool(NodeConfig.Wire wire, int maxConnections, Metrics dials) {
-        return new Pool(loop, buffers, wire.connIdleMs(), wire.connectTimeoutMs(), maxConnections, dials);
+    private ConnectionPool createPool(NodeConfig.Wire wire, int maxConnections, Metrics dials) {
+        return new ConnectionPool(loop, buffers, wire.connIdleMs(), wire.connectTimeoutMs(), maxConnections, dials);
     }
 
     /** The routing policy; its decisions are logged where the operators have that logger on. */
--- a/src/main/java/maplerail/server/HandoverService.java
+++ b/src/main/java/maplerail/server/HandoverService.java
@@ -7,7 +7,7 @@
 import maplerail.core.Broker;
 import maplerail.migration.HandoverFile;
 import maplerail.migration.HandoverSnapshot;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.RoutingEvent.PrefixCached;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,7 +21,7 @@
 
     private final HandoverFile file;
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final Broker broker;
     private final BooleanSupplier stopping;
 
@@ -31,7 +31,7 @@
      * @param folder the folder that both processes have
      * @param stopping whether this process is stopping: it must not take what it has just left itself
      */
-    HandoverService(Path folder, XnioWorker worker, XnioLoop loop, Broker broker, BooleanSupplier stopping) {
+    HandoverService(Path folder, XnioWorker worker, XnioEventLoop loop, Broker broker, BooleanSupplier stopping) {
         this.file = new HandoverFile(folder, ProcessHandle.current().pid());
         this.worker = worker;
         this.loop = loop;
--- a/src/main/java/maplerail/server/StreamMigration.java
+++ b/src/main/java/maplerail/server/StreamMigration.java
@@ -22,7 +22,7 @@
 import maplerail.migration.MigratedStream;
 import maplerail.net.Call;
 import maplerail.net.EngineClient;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
@@ -46,7 +46,7 @@
     private final Path folder;
     private final long process = ProcessHandle.current().pid();
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final Broker broker;
     private final EngineClient engines;
     private final ConnectionManager clients;
@@ -69,7 +69,7 @@
     StreamMigration(
             Path folder,
             XnioWorker worker,
-            XnioLoop loop,
+            XnioEventLoop loop,
             Broker broker,
             EngineClient engines,
             ConnectionManager clients,
--- a/src/main/java/maplerail/server/TierPeerService.java
+++ b/src/main/java/maplerail/server/TierPeerService.java
@@ -15,7 +15,7 @@
 import maplerail.fleet.ReaderPaceGossip;
 import maplerail.metrics.Metrics;
 import maplerail.net.PeerDatagramChannel;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.AttemptOutcome;
 import maplerail.routing.RoutingEvent.EndpointUpdate;
 import maplerail.routing.RoutingSettings;
@@ -33,7 +33,7 @@
 
     private final NodeConfig.Peers peers;
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final Broker broker;
     private final Metrics metrics;
     private final BooleanSupplier stopping;
@@ -56,7 +56,7 @@
     TierPeerService(
             NodeConfig.Peers peers,
             XnioWorker worker,
-            XnioLoop loop,
+            XnioEventLoop loop,
             Broker broker,
             Metrics metrics,
             long seed,
--- a/src/main/java/maplerail/server/ToolGateway.java
+++ b/src/main/java/maplerail/server/ToolGateway.java
@@ -9,7 +9,7 @@
 import maplerail.core.Lifecycle;
 import maplerail.front.jsonrpc.RpcFront;
 import maplerail.metrics.Metrics;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import org.xnio.XnioWorker;
 import org.xnio.nio.IoThreadListener;
 
@@ -19,7 +19,7 @@
     private final ToolServices services;
     private final RpcFront front;
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final ByteBufferPool buffers;
     private final DescriptorBudget descriptors;
     private final DrainSchedule drain;
@@ -34,7 +34,7 @@
             DrainSchedule drain,
             Metrics metrics,
             XnioWorker worker,
-            XnioLoop loop,
+            XnioEventLoop loop,
             ByteBufferPool buffers,
             DescriptorBudget descriptors) {
         this.config = config;
--- a/src/main/java/maplerail/server/ToolServices.java
+++ b/src/main/java/maplerail/server/ToolServices.java
@@ -14,9 +14,9 @@
 import maplerail.core.DrainSchedule;
 import maplerail.discovery.ConsulDiscovery;
 import maplerail.metrics.Metrics;
-import maplerail.net.Pool;
+import maplerail.net.ConnectionPool;
 import maplerail.net.ToolClient;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.Endpoint;
 import maplerail.routing.EndpointState;
 import maplerail.routing.EndpointUpdateKind;
@@ -35,16 +35,16 @@
     private static final long CONSUL_DRAWS = 0x5851f42d4c957f2dL; // keeps them apart from the module's
 
     private final ToolsConfig config;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final long seed;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private ConsulDiscovery watch;
     private final Map<String, Broker> brokers = new TreeMap<>();
     private final Map<String, ToolClient> clients = new TreeMap<>();
 
     ToolServices(
             ToolsConfig config,
-            XnioLoop loop,
+            XnioEventLoop loop,
             io.undertow.connector.ByteBufferPool buffers,
             long seed,
             int mostConnections,
@@ -53,7 +53,7 @@
         this.config = config;
         this.loop = loop;
         this.seed = seed;
-        this.pool = new Pool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
+        this.pool = new ConnectionPool(loop, buffers, IDLE_MS, CONNECT_MS, mostConnections);
         RoutingSettings settings = config.settings(seed);
         AdmissionStage admit = new AdmissionStage(config.budgets(MOST_OPEN), loop, new SplittableRandom(~seed));
         admit.rejectWhile(drain::isRejecting);
--- a/src/test/java/maplerail/discovery/ConsulTest.java
+++ b/src/test/java/maplerail/discovery/ConsulTest.java
@@ -12,8 +12,8 @@
 import maplerail.config.Json;
 import maplerail.config.Names;
 import maplerail.config.Tree;
-import maplerail.net.Pool;
-import maplerail.net.XnioLoop;
+import maplerail.net.ConnectionPool;
+import maplerail.net.XnioEventLoop;
 import maplerail.routing.EndpointState;
 import maplerail.support.StandIn;
 import maplerail.support.World;
@@ -56,7 +56,7 @@
         List<String> targets = new CopyOnWriteArrayList<>();
         BlockingQueue<String> results = World.queue();
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         try (StandIn consul = new StandIn(exchange -> {
             targets.add(exchange.target);
             int call = targets.size();
@@ -65,7 +65,8 @@
                 exchange.reply(200, "{\"call\":" + call + "}", "X-Consul-Index: " + (call + 4));
             else exchange.awaitEnd();
         })) {
-            Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 10).withoutSettleDelay();
+            ConnectionPool pool = new ConnectionPool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 10)
+                    .withoutSettleDelay();
             BlockingQuery query = new BlockingQuery(
                     pool,
                     loop,
--- a/src/test/java/maplerail/front/ConnectionManagerTest.java
+++ b/src/test/java/maplerail/front/ConnectionManagerTest.java
@@ -20,7 +20,7 @@
 import maplerail.core.EventLoop;
 import maplerail.core.Lifecycle;
 import maplerail.metrics.Metrics;
-import maplerail.net.XnioLoop;
+import maplerail.net.XnioEventLoop;
 import maplerail.support.StandIn;
 import maplerail.support.World;
 import org.junit.jupiter.api.Test;
@@ -77,7 +77,7 @@
     @Test
     void aRequestReceivedBeforeAnIdleCloseIsAnswered() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         HttpOpenListener http = new HttpOpenListener(new DefaultByteBufferPool(true, 8_192), OptionMap.EMPTY);
         ConnectionManager connections =
                 new ConnectionManager(http, loop, 100, new DrainSchedule(new Lifecycle(), loop), new Metrics());
@@ -181,7 +181,7 @@
     @Test
     void aBurstOfConnectionsIsAdmittedInBatches() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        XnioLoop loop = new XnioLoop(worker.getIoThread());
+        XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
         AtomicInteger admitted = new AtomicInteger();
         AtomicInteger maxPerTurn = new AtomicInteger();
         AcceptThrottle throttle = new AcceptThrottle(connection -> admitted.incrementAndGet(), waiting -> {}, loop);
@@ -253,7 +253,8 @@
     }
 
     /** Records the maximum number of connections admitted between two turns of the loop. */
-    private static void trackMaxPerTurn(XnioLoop loop, AtomicInteger admitted, AtomicInteger maxPerTurn, int before) {
+    private static void trackMaxPerTurn(
+            XnioEventLoop loop, AtomicInteger admitted, AtomicInteger maxPerTurn, int before) {
         int now = admitted.get();
         maxPerTurn.accumulateAndGet(now - before, Math::max);
         if (now < 100) loop.schedule(loop.nowMs() + 1, () -> trackMaxPerTurn(loop, admitted, maxPerTurn, now));
--- a/src/test/java/maplerail/net/PoolTest.java
+++ b/src/test/java/maplerail/net/ConnectionPoolTest.java
@@ -36,7 +36,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-class PoolTest {
+class ConnectionPoolTest {
     private static final ReleaseControl ALWAYS_ALLOWED = new ReleaseControl() {
         @Override
         public boolean maySend() {
@@ -53,12 +53,12 @@
     private static final int LARGE_POOL = 10_000;
 
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final BlockingQueue<String> results = World.queue();
 
-    PoolTest() throws Exception {
+    ConnectionPoolTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        loop = new XnioLoop(worker.getIoThread());
+        loop = new XnioEventLoop(worker.getIoThread());
     }
 
     @AfterEach
@@ -67,15 +67,15 @@
         worker.shutdownNow();
     }
 
-    private Pool pool(double connIdleMs) {
+    private ConnectionPool pool(double connIdleMs) {
         return pool(connIdleMs, 50);
     }
 
-    private Pool pool(double connIdleMs, int maxConnections) {
-        return new Pool(loop, new DefaultByteBufferPool(true, 8_192), connIdleMs, 250, maxConnections);
+    private ConnectionPool pool(double connIdleMs, int maxConnections) {
+        return new ConnectionPool(loop, new DefaultByteBufferPool(true, 8_192), connIdleMs, 250, maxConnections);
     }
 
-    private String post(Pool pool, InetSocketAddress to) throws Exception {
+    private String post(ConnectionPool pool, InetSocketAddress to) throws Exception {
         loop.execute(() -> pool.start(to, request(to), "{}".getBytes(), new RecordingHandler(results)));
         return take(results);
     }
@@ -84,7 +84,7 @@
     @Test
     void aCallCancelledWhileConnectingIsNotWritten() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             BlockingQueue<String> checked = World.queue();
             loop.execute(() -> {
                 Call[] unwanted = new Call[1];
@@ -140,7 +140,7 @@
     @Test
     void idleConnectionsAreReusedAndClosedBeforeTheServerClosesThem() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool reusing = pool(30_000, LARGE_POOL);
+            ConnectionPool reusing = pool(30_000, LARGE_POOL);
             // A connection is not reused before its settle delay has passed.
             for (int opened = -1; opened != server.connections(); ) {
                 opened = server.connections();
@@ -158,7 +158,7 @@
             if (x.number == 0) x.reply(200, "");
             else x.reset();
         })) {
-            Pool pool = pool(30_000, LARGE_POOL);
+            ConnectionPool pool = pool(30_000, LARGE_POOL);
             int posts = 1;
             while (post(pool, server.socketAddress()).equals("end")) posts++;
             assertThat(posts).isGreaterThan(1);
@@ -173,7 +173,7 @@
         BlockingQueue<String> endings = World.queue();
         try (ServerSocket server = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            Pool pool = pool(1e12);
+            ConnectionPool pool = pool(1e12);
             loop.execute(() -> {
                 io.undertow.client.ClientRequest request = HttpRequests.create(address, Methods.POST, "/");
                 request.getRequestHeaders().put(io.undertow.util.Headers.CONTENT_LENGTH, 32 << 20);
@@ -194,7 +194,7 @@
             x.write("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             if (x.number == 0) x.reply(500, "another's");
         })) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             for (int i = 1; i <= 3; i++) {
                 assertThat(post(pool, server.socketAddress())).isEqualTo("end");
                 int expectedClosed = i;
@@ -209,7 +209,7 @@
         BlockingQueue<StandIn.Exchange> waiting = World.queue();
         try (StandIn server = new StandIn(waiting::add);
                 StandIn other = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             assertThat(post(pool, other.socketAddress())).isEqualTo("end");
             for (int i = 0; i < 50; i++) {
                 loop.execute(() -> pool.start(
@@ -232,7 +232,7 @@
             arrived.add(x.method);
             x.reply(200, "");
         })) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             InetSocketAddress to = server.socketAddress();
             loop.execute(() -> {
                 for (int i = 0; i < 60; i++) pool.start(to, request(to), new byte[2], new RecordingHandler(results));
@@ -251,7 +251,8 @@
         BlockingQueue<Long> connectsStarted = World.queue();
         List<StandIn> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) servers.add(new StandIn(x -> x.reply(200, "")));
-        Pool pool = new Pool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 1_000, metrics);
+        ConnectionPool pool =
+                new ConnectionPool(loop, new DefaultByteBufferPool(true, 8_192), 30_000, 250, 1_000, metrics);
         loop.execute(() -> {
             for (StandIn server : servers) {
                 InetSocketAddress to = server.socketAddress();
@@ -280,7 +281,7 @@
     @Test
     void callsOverTheConnectLimitWaitAndComplete() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 100; i++) {
                     pool.start(
@@ -298,7 +299,7 @@
     @Test
     void aBlockedEventLoopDoesNotFailEstablishedConnects() throws Exception {
         try (StandIn server = new StandIn(x -> x.reply(200, ""))) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             loop.execute(() -> {
                 for (int i = 0; i < 60; i++) {
                     pool.start(
@@ -319,7 +320,7 @@
     @Test
     void theBeforeUseHookRunsBeforeAWaitingCallIsWritten() throws Exception {
         try (StandIn server = World.reader()) {
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             loop.execute(() -> {
                 Call[] call = new Call[1];
                 pool.setBeforeUseHook(() -> call[0].abort());
@@ -335,7 +336,7 @@
         }
     }
 
-    private void awaitIdle(Pool pool, StandIn server) {
+    private void awaitIdle(ConnectionPool pool, StandIn server) {
         if (pool.idleSinceMs(server.socketAddress()) > 0) results.add("idle");
         else loop.schedule(loop.nowMs() + 1, () -> awaitIdle(pool, server));
     }
@@ -347,7 +348,7 @@
         try (StandIn responsive = World.reader()) {
             for (int i = 0; i < 20; i++) servers.add(new StandIn(x -> x.awaitEnd()));
             servers.add(responsive);
-            Pool pool = pool(30_000);
+            ConnectionPool pool = pool(30_000);
             EngineClient client = new EngineClient(pool);
             Map<Long, InetSocketAddress> addresses = new HashMap<>();
             List<Endpoint> members = new ArrayList<>();
@@ -372,7 +373,7 @@
     void aReleaseWithAnUnreadResponseIsNotSentToOtherEngines() throws Exception {
         try (StandIn holder = World.reader();
                 StandIn other = World.reader()) {
-            Pool pool = pool(30_000).withoutSettleDelay();
+            ConnectionPool pool = pool(30_000).withoutSettleDelay();
             EngineClient client = new EngineClient(pool);
             Endpoint one = new Endpoint(1, EndpointState.READY, 0, 0, 0, 1, 0);
             client.updateEngines(new EngineList(
--- a/src/test/java/maplerail/net/XnioLoopTest.java
+++ b/src/test/java/maplerail/net/XnioEventLoopTest.java
@@ -19,18 +19,18 @@
 import org.xnio.XnioWorker;
 
 /** The event loop's guarantee: what had arrived when a timer became due is handled before the timer runs. */
-class XnioLoopTest {
+class XnioEventLoopTest {
     private static final long BLOCKED_MS = 60;
     private static final int MAX_REPEATS = 100_000;
     private static final int TIMERS = 100;
 
     private final XnioWorker worker;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final BlockingQueue<String> events = World.queue();
 
-    XnioLoopTest() throws Exception {
+    XnioEventLoopTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        loop = new XnioLoop(worker.getIoThread());
+        loop = new XnioEventLoop(worker.getIoThread());
     }
 
     @AfterEach
